--- a/dalemast/core/catch_up/missing.py
+++ b/dalemast/core/catch_up/missing.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Ask", "MissingVersion", "get_copy_s"]
+__all__ = ["VersionRequest", "MissingVersion", "get_copy_s"]
 
 HEAD_START_S = 0.4
 """How long the store alone may bring a version that peers have: its answer of a megabyte takes
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class VersionRequest:
     """Ask this peer for the version that it told of."""
 
     peer: str
@@ -70,13 +70,13 @@
         self._holders.pop(peer, None)
         self._tried.discard(peer)
 
-    def note_later(self, peer: str, *, now: float) -> None:
+    def note_deferred(self, peer: str, *, now: float) -> None:
         """Note that a peer is busy with copies for others; it may be asked again."""
         self._tried.discard(peer)
         if self._ask_at is not None:
             self._ask_at = now + LATER_PAUSE_S
 
-    def take_due(self, *, now: float, draw: float) -> Ask | None:
+    def take_due(self, *, now: float, draw: float) -> VersionRequest | None:
         """Return whom to ask now, or None. ``draw`` from 0 to 1 picks one of several peers."""
         if self._ask_at is None or now < self._ask_at:
             return None
@@ -93,7 +93,7 @@
         self._tried.add(peer)
         version, size_bytes = self._holders[peer]
         self._ask_at = now + get_copy_s(size_bytes)
-        return Ask(peer=peer, version=version)
+        return VersionRequest(peer=peer, version=version)
 
     def _get_newer(self) -> list[str]:
         """Return the peers that have the newest version, if it is newer than the one here."""
--- a/dalemast/core/ownership/__init__.py
+++ b/dalemast/core/ownership/__init__.py
@@ -4,7 +4,7 @@
 """
 
 from dalemast.core.ownership.claims import Claims, Granted, Held
-from dalemast.core.ownership.neighbours import KnownEntry, LinkBounds, choose_owners
+from dalemast.core.ownership.link_selection import KnownEntry, LinkBounds, choose_owners
 from dalemast.core.ownership.rendezvous import choose_home, rank_entries
 
 __all__ = [
--- a/dalemast/core/ownership/claims.py
+++ b/dalemast/core/ownership/claims.py
@@ -48,7 +48,7 @@
         self._owners[job_id] = {owner}
         return Granted()
 
-    def note_told(self, job_id: str, owner: str) -> bool:
+    def record_reported(self, job_id: str, owner: str) -> bool:
         """Note that an owner says it has an id; return whether that is news."""
         owners = self._owners.setdefault(job_id, set())
         is_news = owner not in owners
@@ -68,11 +68,11 @@
         if not owners:
             self._owners.pop(job_id, None)
 
-    def note_lost(self, owner: str, *, now: float) -> None:
+    def note_unreachable(self, owner: str, *, now: float) -> None:
         """Note that an owner is out of reach since now."""
         self._lost.setdefault(owner, now)
 
-    def note_back(self, owner: str) -> None:
+    def note_reachable(self, owner: str) -> None:
         """Note that an owner is in reach again."""
         self._lost.pop(owner, None)
 
--- a/dalemast/core/ownership/neighbours.py
+++ b/dalemast/core/ownership/link_selection.py
@@ -24,23 +24,26 @@
     entries, they bring an entry's agents from 260 down to about 100.
     """
 
-    near: int = 12
+    same_data_centre: int = 12
     """Most entries in the agent's own data centre."""
-    far: int = 4
+    other_data_centres: int = 4
     """Most entries elsewhere: they place tasks here only when their own data centre is full."""
 
     @property
     def total(self) -> int:
         """How many entries an agent is linked to in all."""
-        return self.near + self.far
+        return self.same_data_centre + self.other_data_centres
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KnownEntry:
-    """An entry that an agent knows. ``is_near`` says that it is in the agent's data centre."""
+    """An entry that an agent knows.
+
+    ``is_same_data_centre`` tells whether it is in the agent's data centre.
+    """
 
     name: str
-    is_near: bool
+    is_same_data_centre: bool
 
 
 def choose_owners(agent: str, entries: Iterable[KnownEntry], *, bounds: LinkBounds) -> set[str]:
@@ -48,8 +51,8 @@
     known = list(entries)
     if len(known) <= bounds.total:
         return {entry.name for entry in known}
-    near = rank_entries(agent, (entry.name for entry in known if entry.is_near))
-    far = rank_entries(agent, (entry.name for entry in known if not entry.is_near))
+    near = rank_entries(agent, (entry.name for entry in known if entry.is_same_data_centre))
+    far = rank_entries(agent, (entry.name for entry in known if not entry.is_same_data_centre))
     # Where one kind is scarce, more of the other make up for it.
-    near = near[: max(bounds.near, bounds.total - len(far))]
+    near = near[: max(bounds.same_data_centre, bounds.total - len(far))]
     return {*near, *far[: bounds.total - len(near)]}
--- a/dalemast/core/supervision/__init__.py
+++ b/dalemast/core/supervision/__init__.py
@@ -5,30 +5,30 @@
     OrderStart,
     OrderStop,
     PreemptRun,
-    ReportCutShort,
+    ReportCapacity,
+    ReportDeparture,
+    ReportDepartureRisk,
     ReportEnd,
-    ReportLeaving,
-    ReportRoom,
     ReportSlow,
 )
-from dalemast.core.supervision.audience import (
-    RoomAudience,
-    find_neediest,
-    get_room_pause,
-    get_turn,
-)
 from dalemast.core.supervision.base import (
     EndedRun,
     ListedRun,
     RunId,
     StartOutcome,
     StartRequest,
-    WorkerLife,
+    WorkerIncarnation,
+)
+from dalemast.core.supervision.capacity_reports import (
+    CapacitySubscriber,
+    find_most_urgent,
+    get_report_interval_s,
+    get_report_order,
 )
 from dalemast.core.supervision.crashes import list_crashed
 from dalemast.core.supervision.health import WorkerHealth
 from dalemast.core.supervision.leases import WorkerLease
-from dalemast.core.supervision.looks import LookPlan, LookSchedule
+from dalemast.core.supervision.polls import PollPlan, PollSchedule
 from dalemast.core.supervision.runs import Run, RunPhase
 from dalemast.core.supervision.speeds import SpeedRecord
 from dalemast.core.supervision.supervisor import Supervisor, SupervisorLimits
@@ -37,17 +37,17 @@
     "Action",
     "EndedRun",
     "ListedRun",
-    "LookPlan",
-    "LookSchedule",
+    "PollPlan",
+    "PollSchedule",
     "OrderStart",
     "OrderStop",
     "PreemptRun",
-    "ReportCutShort",
+    "ReportDepartureRisk",
     "ReportEnd",
-    "ReportLeaving",
-    "ReportRoom",
+    "ReportDeparture",
+    "ReportCapacity",
     "ReportSlow",
-    "RoomAudience",
+    "CapacitySubscriber",
     "Run",
     "RunId",
     "RunPhase",
@@ -58,9 +58,9 @@
     "SupervisorLimits",
     "WorkerHealth",
     "WorkerLease",
-    "WorkerLife",
-    "find_neediest",
-    "get_room_pause",
-    "get_turn",
+    "WorkerIncarnation",
+    "find_most_urgent",
+    "get_report_interval_s",
+    "get_report_order",
     "list_crashed",
 ]
--- a/dalemast/core/supervision/acceptance.py
+++ b/dalemast/core/supervision/acceptance.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.supervision.base import WorkerLife
+from dalemast.core.supervision.base import WorkerIncarnation
 
 __all__ = ["Acceptance"]
 
@@ -21,8 +21,8 @@
         """Data centres in which nothing may be started. Owners know too, but one of them may not
         have heard yet."""
 
-    def allows(self, life: WorkerLife) -> bool:
+    def allows(self, incarnation: WorkerIncarnation) -> bool:
         """Tell whether nothing stands against starts on this life of the worker."""
-        if self.is_draining or self.is_ending or self.is_silent or life.is_leaving:
+        if self.is_draining or self.is_ending or self.is_silent or incarnation.is_leaving:
             return False
-        return life.data_centre not in self.evacuated
+        return incarnation.data_centre not in self.evacuated
--- a/dalemast/core/supervision/actions.py
+++ b/dalemast/core/supervision/actions.py
@@ -12,10 +12,10 @@
     "OrderStart",
     "OrderStop",
     "PreemptRun",
-    "ReportCutShort",
+    "ReportDepartureRisk",
     "ReportEnd",
-    "ReportLeaving",
-    "ReportRoom",
+    "ReportDeparture",
+    "ReportCapacity",
     "ReportSlow",
 ]
 
@@ -76,19 +76,19 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ReportRoom:
+class ReportCapacity:
     """Tell the owners what is free."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ReportLeaving:
+class ReportDeparture:
     """Tell the owners the least time that the worker has left, in seconds; None if it stays."""
 
     in_s: float | None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ReportCutShort:
+class ReportDepartureRisk:
     """Tell an owner of a run that its worker can't end, as in ``CutShort``. Times are seconds."""
 
     owner: str
@@ -103,7 +103,7 @@
     | PreemptRun
     | ReportEnd
     | ReportSlow
-    | ReportRoom
-    | ReportLeaving
-    | ReportCutShort
+    | ReportCapacity
+    | ReportDeparture
+    | ReportDepartureRisk
 )
--- a/dalemast/core/supervision/base.py
+++ b/dalemast/core/supervision/base.py
@@ -9,7 +9,7 @@
 from dalemast.core.scheduling.actions import EndReason
 from dalemast.core.workloads import Resources, TaskKey
 
-__all__ = ["EndedRun", "ListedRun", "RunId", "StartOutcome", "StartRequest", "WorkerLife"]
+__all__ = ["EndedRun", "ListedRun", "RunId", "StartOutcome", "StartRequest", "WorkerIncarnation"]
 
 
 class RunId(NamedTuple):
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class WorkerLife:
+class WorkerIncarnation:
     """A worker's account of itself. ``id`` is new with each of its lives.
 
     ``remaining_s`` is the least time it has left while it leaves, if it says so.
@@ -40,8 +40,8 @@
 class StartRequest:
     """An owner's wish to start a task. ``number`` counts that owner's starts.
 
-    ``said_at`` is when the owner said so at the earliest, by the agent's steady clock in seconds.
-    ``priority`` is the job's, and 0 the most urgent. ``spare_s`` is for how long after ``said_at``
+    ``sent_at`` is when the owner said so at the earliest, by the agent's steady clock in seconds.
+    ``priority`` is the job's, and 0 the most urgent. ``spare_s`` is for how long after ``sent_at``
     the task could begin anew and its job be on time; None if it must not be preempted.
     """
 
@@ -51,7 +51,7 @@
     resources: Resources
     expected_s: float
     number: int
-    said_at: float
+    sent_at: float
     priority: int = 0
     spare_s: float | None = None
 
--- a/dalemast/core/supervision/coming.py
+++ b/dalemast/core/supervision/capacity_releases.py
@@ -13,13 +13,13 @@
 from dalemast.core.scheduling.load import ComingRoom
 from dalemast.core.supervision.runs import MIN_AGE_S, Run, RunPhase
 
-__all__ = ["list_coming"]
+__all__ = ["list_releases"]
 
 GRAINS_PER_S = 100
 """Ends within a hundredth of a second are one step; estimates err by more."""
 
 
-def list_coming(runs: Iterable[Run], *, now: float) -> tuple[ComingRoom, ...]:
+def list_releases(runs: Iterable[Run], *, now: float) -> tuple[ComingRoom, ...]:
     """Return the steps in which what runs frees its room, soonest first.
 
     The first step holds the next end, and each further one twice as many as the one before, the
--- a/dalemast/core/supervision/audience.py
+++ b/dalemast/core/supervision/capacity_reports.py
@@ -12,7 +12,7 @@
 
 from dalemast.core.scheduling.actions import Want
 
-__all__ = ["RoomAudience", "find_neediest", "get_room_pause", "get_turn"]
+__all__ = ["CapacitySubscriber", "find_most_urgent", "get_report_interval_s", "get_report_order"]
 
 NEAR_ROOM_PAUSE_S = 0.0125
 """Shortest pause between two reports to an owner in the same data centre on what others changed,
@@ -31,43 +31,47 @@
 reports than 4, with as many refused starts and no loss of worth."""
 
 
-def get_room_pause(*, is_near: bool, owners: int, is_content: bool = False) -> float:
+def get_report_interval_s(
+    *, is_same_data_centre: bool, owners: int, is_satisfied: bool = False
+) -> float:
     """Return the pause between reports to one of so many owners that are as near, in seconds.
 
-    ``is_content`` tells that the owner lacks no room.
+    ``is_satisfied`` tells that the owner lacks no room.
     """
-    pause_s = owners * (NEAR_ROOM_PAUSE_S if is_near else FAR_ROOM_PAUSE_S)
-    return CONTENT_FACTOR * pause_s if is_content else pause_s
+    pause_s = owners * (NEAR_ROOM_PAUSE_S if is_same_data_centre else FAR_ROOM_PAUSE_S)
+    return CONTENT_FACTOR * pause_s if is_satisfied else pause_s
 
 
-def find_neediest(audiences: Iterable[RoomAudience], *, free_cpu: int) -> RoomAudience | None:
+def find_most_urgent(
+    audiences: Iterable[CapacitySubscriber], *, free_cpu: int
+) -> CapacitySubscriber | None:
     """Return the owner whose work goes first and fits into the room, or None if none wants any."""
     asking = [
-        (audience.want.rank, number, audience)
+        (audience.request.rank, number, audience)
         for number, audience in enumerate(audiences)
-        if audience.want is not None and audience.want.cpu <= free_cpu
+        if audience.request is not None and audience.request.cpu <= free_cpu
     ]
     return min(asking)[2] if asking else None
 
 
-def get_turn(audience: RoomAudience) -> float:
+def get_report_order(audience: CapacitySubscriber) -> float:
     """Return the sort key of owners that are told of a change together; the least goes first.
 
     The one that hears first may have taken the room when the others hear. Pauses are equal, so the
     same owners fall due together each time, and in one order the last ones would never find room.
     """
-    return audience.was_first_at
+    return audience.last_first_at
 
 
-class RoomAudience:
+class CapacitySubscriber:
     """One owner that hears of one worker's room. Times are the agent's steady clock, in seconds."""
 
     def __init__(self) -> None:
         self._is_due = False
         self._is_urgent = False
         self._told_at = float("-inf")
-        self._was_first_at = float("-inf")
-        self.want: Want | None = None
+        self._last_first_at = float("-inf")
+        self.request: Want | None = None
         """What the owner lacks room for, by its last word."""
 
     @property
@@ -76,36 +80,36 @@
         return self._is_due
 
     @property
-    def is_content(self) -> bool:
+    def is_satisfied(self) -> bool:
         """Whether the owner lacks no room, by its last word."""
-        return self.want is None
+        return self.request is None
 
     @property
-    def was_first_at(self) -> float:
+    def last_first_at(self) -> float:
         """When others last heard of a change right after it."""
-        return self._was_first_at
+        return self._last_first_at
 
-    def take_want(self, want: Want | None, *, hears_coming: bool) -> None:
+    def set_request(self, want: Want | None, *, receives_releases: bool) -> None:
         """Take in what the owner lacks room for.
 
-        One that ``hears_coming`` room was told of none while it was content, so a report is due.
+        One that ``receives_releases`` was sent none while it was satisfied, so a report is due.
         """
-        if hears_coming and self.is_content and want is not None:
+        if receives_releases and self.is_satisfied and want is not None:
             self.note_change()
-        self.want = want
+        self.request = want
 
     def note_change(self) -> None:
         """Note that the room has changed; the owner hears of it when its pause is over."""
         self._is_due = True
 
-    def hasten(self) -> None:
+    def mark_urgent(self) -> None:
         """Note a change that the owner should hear of at once."""
         self._is_due = True
         self._is_urgent = True
 
-    def note_first(self, *, now: float) -> None:
+    def record_first(self, *, now: float) -> None:
         """Note that others hear of the same change after it."""
-        self._was_first_at = now
+        self._last_first_at = now
 
     def take_due(self, *, now: float, pause_s: float) -> bool:
         """Tell whether a report is due, ``pause_s`` after the one before, and count it as told."""
--- a/dalemast/core/supervision/departures.py
+++ b/dalemast/core/supervision/departures.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 
 from dalemast.core.scheduling.departures import is_plausible
-from dalemast.core.supervision.actions import Action, ReportCutShort, ReportLeaving
-from dalemast.core.supervision.base import WorkerLife
+from dalemast.core.supervision.actions import Action, ReportDeparture, ReportDepartureRisk
+from dalemast.core.supervision.base import WorkerIncarnation
 from dalemast.core.supervision.runs import DECLARED_ERROR, MIN_AGE_S, Run, RunPhase, ToldCut
 
 __all__ = ["DepartureWatch"]
@@ -48,37 +48,37 @@
         self._told: float | None = None
         """When the worker leaves, as owners were told."""
 
-    def get_left_s(self, *, now: float) -> float | None:
+    def get_remaining_s(self, *, now: float) -> float | None:
         """Return the least time that the worker has left; None if it stays or has not said so."""
         return _count_down(self._leaves_at, now)
 
-    def begin_life(self) -> None:
+    def begin_incarnation(self) -> None:
         """Start over with another life of the worker."""
         self._leaves_at = None
         self._told = None
 
-    def meet(self, life: WorkerLife, *, now: float) -> list[Action]:
+    def meet(self, incarnation: WorkerIncarnation, *, now: float) -> list[Action]:
         """Take in the worker's account of itself; tell owners if it changes when it leaves."""
-        if not life.is_leaving:
+        if not incarnation.is_leaving:
             self._leaves_at = None
-        elif life.remaining_s is not None and is_plausible(life.remaining_s):
-            self._leaves_at = now + life.remaining_s
-        left_s = self.get_left_s(now=now)
+        elif incarnation.remaining_s is not None and is_plausible(incarnation.remaining_s):
+            self._leaves_at = now + incarnation.remaining_s
+        left_s = self.get_remaining_s(now=now)
         if not _has_changed(_count_down(self._told, now), left_s):
             return []
         self._told = self._leaves_at
-        return [ReportLeaving(in_s=left_s)]
+        return [ReportDeparture(in_s=left_s)]
 
     def review(self, runs: Iterable[Run], *, now: float) -> list[Action]:
         """Return what owners should hear of runs that the worker can't end."""
-        left_s = self.get_left_s(now=now)
+        left_s = self.get_remaining_s(now=now)
         if left_s is None:
             return []
         reports = (_judge(run, left_s, now) for run in runs if run.phase is RunPhase.RUNNING)
         return [report for report in reports if report is not None]
 
 
-def _judge(run: Run, left_s: float, now: float) -> ReportCutShort | None:
+def _judge(run: Run, left_s: float, now: float) -> ReportDepartureRisk | None:
     """Return the report that is due on a run, if any."""
     rest = _estimate_rest(run, now)
     is_cut = rest.least_s > left_s + SEEN_S
@@ -86,7 +86,7 @@
         return None
     run.told_cut = ToldCut(is_cut=is_cut, ends_at=now + rest.likely_s)
     run.cut_reports += 1
-    return ReportCutShort(
+    return ReportDepartureRisk(
         owner=run.request.owner,
         run_id=run.request.run_id,
         left_s=rest.likely_s,
--- a/dalemast/core/supervision/health.py
+++ b/dalemast/core/supervision/health.py
@@ -23,7 +23,7 @@
         self._pause_s = TRIAL_PAUSE_S
 
     @property
-    def is_doubted(self) -> bool:
+    def is_suspected(self) -> bool:
         """Whether only single tasks are tried."""
         return self._is_doubted
 
--- a/dalemast/core/supervision/lives.py
+++ b/dalemast/core/supervision/incarnations.py
@@ -7,16 +7,16 @@
 
 from __future__ import annotations
 
-from dalemast.core.supervision.base import WorkerLife
+from dalemast.core.supervision.base import WorkerIncarnation
 
-__all__ = ["WorkerLives"]
+__all__ = ["WorkerIncarnations"]
 
 MAX_OVER = 256
 """Lives that are over and remembered. A worker has few within one life of its agent, but another
 writer may report under ids without end."""
 
 
-class WorkerLives:
+class WorkerIncarnations:
     """The life that is believed to be there, one that claims its place, and those that are over.
 
     Only the worker tells which of two lives is there: a call addressed to a life is answered by
@@ -24,8 +24,8 @@
     """
 
     def __init__(self) -> None:
-        self._current: WorkerLife | None = None
-        self._claimant: WorkerLife | None = None
+        self._current: WorkerIncarnation | None = None
+        self._claimant: WorkerIncarnation | None = None
         self._claimed_at = 0.0
         self._over: dict[str, bool] = {}
         """Lives that never come back, the one that ended last at the end, each with whether that is
@@ -34,25 +34,25 @@
         """Lives met before the current one; they are over once it has answered a call."""
 
     @property
-    def current(self) -> WorkerLife | None:
+    def current(self) -> WorkerIncarnation | None:
         """The life that calls are addressed to."""
         return self._current
 
     @property
-    def claimant(self) -> WorkerLife | None:
+    def claimant(self) -> WorkerIncarnation | None:
         """Another life that has reported, until the worker shows which one is there."""
         return self._claimant
 
-    def meet(self, life: WorkerLife, *, now: float) -> bool:
+    def meet(self, incarnation: WorkerIncarnation, *, now: float) -> bool:
         """Take in a report; return whether it is the current life's, or has become it."""
-        if life.id in self._over:
+        if incarnation.id in self._over:
             return False
-        if self._current is None or self._current.id == life.id:
-            self._current = life
+        if self._current is None or self._current.id == incarnation.id:
+            self._current = incarnation
             return True
-        if self._claimant is None or self._claimant.id != life.id:
+        if self._claimant is None or self._claimant.id != incarnation.id:
             self._claimed_at = now
-        self._claimant = life
+        self._claimant = incarnation
         return False
 
     def confirm(self, *, asked_at: float) -> None:
@@ -67,7 +67,7 @@
             self._note_over(self._claimant.id, is_proved=True)
             self._claimant = None
 
-    def lose(self, *, is_over: bool, has_said_so: bool = False) -> WorkerLife | None:
+    def lose(self, *, is_over: bool, has_said_so: bool = False) -> WorkerIncarnation | None:
         """Give the current life up; return the claimant that has taken its place, if any.
 
         ``is_over`` is what the worker has shown, ``has_said_so`` what was said in its name.
--- a/dalemast/core/supervision/leases.py
+++ b/dalemast/core/supervision/leases.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-__all__ = ["LEAST_LEASE_SHARE", "WorkerLease"]
+__all__ = ["MIN_LEASE_SHARE", "WorkerLease"]
 
-LEAST_LEASE_SHARE = 0.5
+MIN_LEASE_SHARE = 0.5
 """Share of a lease that is left enough for a start to join it in place of renewing it. A look
 renews the lease at least each 0.15 s of its 0.6 s; starts that renewed it went on doing so for
 0.3 s after a worker had fallen silent, and its tasks ran elsewhere that much later."""
@@ -39,6 +39,6 @@
         """Return the end that a start carries, or None if it must not be carried out any more."""
         if limit <= now:
             return None
-        if self._ends_at - now < LEAST_LEASE_SHARE * self._lease_s:
+        if self._ends_at - now < MIN_LEASE_SHARE * self._lease_s:
             self.renew(now=now, limit=limit)
         return self._ends_at if self._ends_at > now else None
--- a/dalemast/core/supervision/looks.py
+++ b/dalemast/core/supervision/polls.py
@@ -10,9 +10,9 @@
 
 from dataclasses import dataclass
 
-__all__ = ["LAPSE_SLACK_S", "LONGEST_LOOK_PAUSE_S", "LOOK_WAIT_S", "LookPlan", "LookSchedule"]
+__all__ = ["LEASE_EXPIRY_SLACK_S", "MAX_POLL_PAUSE_S", "POLL_WAIT_S", "PollPlan", "PollSchedule"]
 
-LOOK_WAIT_S = 0.15
+POLL_WAIT_S = 0.15
 """Longest wait of one look. The lease outlasts one look that stays unanswered and three that ask
 for an answer at once after it."""
 LOOK_SLACK_S = 0.1
@@ -29,16 +29,16 @@
 """How long after a lost answer more are expected: at 4 % one in 25 looks, hence one a second."""
 LOOK_PAUSE_S = 0.02
 """Pause after a look that failed at once."""
-LONGEST_LOOK_PAUSE_S = 0.16
+MAX_POLL_PAUSE_S = 0.16
 """The pause doubles with each further one up to this: a worker that resets every connection was
 looked at 500 times a second, and each new connection to a worker is priced. Less than half of what
 a lease leaves, so that a worker that answers again in time loses nothing."""
-LAPSE_SLACK_S = 0.001
+LEASE_EXPIRY_SLACK_S = 0.001
 """How long after the lease's end a silent worker is given up, since timers may fire early."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LookPlan:
+class PollPlan:
     """One look. ``wait_s`` is how long its answer may wait for an end, ``slack_s`` how much longer
     it may take; ``renews`` tells whether it renews the lease. Times are seconds."""
 
@@ -47,7 +47,7 @@
     renews: bool
 
 
-class LookSchedule:
+class PollSchedule:
     """The looks at one life of a worker. Times are the agent's steady clock, in seconds."""
 
     def __init__(self) -> None:
@@ -59,11 +59,11 @@
         """How many looks in a row stayed unanswered."""
         return self._unanswered
 
-    def begin_life(self) -> None:
+    def begin_incarnation(self) -> None:
         """Start over with another life of the worker."""
         self._unanswered = 0
 
-    def plan(self, *, has_runs: bool, now: float) -> LookPlan:
+    def plan(self, *, has_runs: bool, now: float) -> PollPlan:
         """Return the next look.
 
         Each renewal that may have arrived puts off the moment from which what runs there has surely
@@ -71,18 +71,18 @@
         further until it gives one.
         """
         if self._unanswered:
-            return LookPlan(wait_s=0.0, slack_s=LOOK_SLACK_S, renews=False)
+            return PollPlan(wait_s=0.0, slack_s=LOOK_SLACK_S, renews=False)
         if not has_runs:
-            return LookPlan(wait_s=0.0, slack_s=LOOK_SLACK_S, renews=True)
+            return PollPlan(wait_s=0.0, slack_s=LOOK_SLACK_S, renews=True)
         if now < self._lossy_until:
-            return LookPlan(wait_s=LOSSY_WAIT_S, slack_s=LOSSY_SLACK_S, renews=True)
-        return LookPlan(wait_s=LOOK_WAIT_S, slack_s=LOOK_SLACK_S, renews=True)
+            return PollPlan(wait_s=LOSSY_WAIT_S, slack_s=LOSSY_SLACK_S, renews=True)
+        return PollPlan(wait_s=POLL_WAIT_S, slack_s=LOOK_SLACK_S, renews=True)
 
     def note_unanswered(self) -> None:
         """Note that a look stayed unanswered."""
         self._unanswered += 1
 
-    def shows_silence(self, *, now: float) -> bool:
+    def is_newly_unresponsive(self, *, now: float) -> bool:
         """Tell whether the last unanswered look is the first that speaks of a silent worker.
 
         While answers get lost, one alone says nothing.
@@ -104,5 +104,5 @@
         if self._unanswered < 2:
             return 0.0
         doublings = self._unanswered - 2
-        pause_s = min(float(LOOK_PAUSE_S * 2**doublings), LONGEST_LOOK_PAUSE_S)
-        return min(pause_s, lease_left_s + LAPSE_SLACK_S) if lease_left_s > 0 else pause_s
+        pause_s = min(float(LOOK_PAUSE_S * 2**doublings), MAX_POLL_PAUSE_S)
+        return min(pause_s, lease_left_s + LEASE_EXPIRY_SLACK_S) if lease_left_s > 0 else pause_s
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -19,7 +19,7 @@
 from dalemast.core.supervision.base import RunId
 from dalemast.core.supervision.runs import MIN_AGE_S, Run, RunPhase
 
-__all__ = ["PreemptionBudget", "RoomTakeovers", "VictimChoice", "get_lost_core_s"]
+__all__ = ["PreemptionBudget", "PreemptionReservations", "VictimChoice", "get_lost_core_s"]
 
 KEPT_SHARE = 0.25
 """Share of a worker's cores that each priority keeps: with the usual three priorities each has a
@@ -105,7 +105,7 @@
             return False
         if request.spare_s is None or request.priority < preempts_from:
             return False
-        if not now + self.stop_s <= request.said_at + request.spare_s:
+        if not now + self.stop_s <= request.sent_at + request.spare_s:
             return False
         age_s = now - run.started_at
         total_s = _get_total_s(run)
@@ -172,7 +172,7 @@
         return max(self.cpu - sum(self.victims.values()), 0)
 
 
-class RoomTakeovers:
+class PreemptionReservations:
     """Room that is made for owners, one takeover each. Times are the agent's steady clock.
 
     What was freed is kept for its owner for a moment, or less urgent work would take it again.
--- a/dalemast/core/supervision/runs.py
+++ b/dalemast/core/supervision/runs.py
@@ -10,7 +10,7 @@
 
 from dalemast.core.supervision.base import StartRequest
 
-__all__ = ["DECLARED_ERROR", "MIN_AGE_S", "Run", "RunPhase", "ToldCut", "get_sure_pace"]
+__all__ = ["DECLARED_ERROR", "MIN_AGE_S", "Run", "RunPhase", "ToldCut", "estimate_min_pace"]
 
 STALL_AFTER_S = 0.35
 """How long a run may show no progress before it is reported. Progress comes in whole percent, and
@@ -102,7 +102,7 @@
         return now - self.progressed_at > max(STALL_AFTER_S, STALL_PERCENTS * percent_s)
 
 
-def get_sure_pace(runs: Iterable[Run]) -> float:
+def estimate_min_pace(runs: Iterable[Run]) -> float:
     """Return how slow these runs show their worker to be for sure, or 0 if they are too few.
 
     The geometric mean over their jobs, less its standard error: declared times err by factors. The
--- a/dalemast/core/supervision/speeds.py
+++ b/dalemast/core/supervision/speeds.py
@@ -36,13 +36,13 @@
     def __init__(self) -> None:
         self._jobs: dict[str, list[float]] = {}
         """By job, the logarithms of its runs' times over the expected ones."""
-        self._told: WorkerSpeed | None = None
+        self._reported: WorkerSpeed | None = None
         self._told_at = float("-inf")
 
     @property
-    def told(self) -> WorkerSpeed | None:
+    def reported(self) -> WorkerSpeed | None:
         """What owners were told last, if anything."""
-        return self._told
+        return self._reported
 
     def learn(self, job_id: str, *, run_s: float, expected_s: float) -> None:
         """Take in a run that ended well; times are seconds.
@@ -71,18 +71,18 @@
             slowness=round(math.exp(middle), 3), runs=sum(map(len, self._jobs.values()))
         )
 
-    def take_news(self, *, now: float) -> WorkerSpeed | None:
+    def take_report(self, *, now: float) -> WorkerSpeed | None:
         """Return what all owners have to be told now, if anything, and note that they are."""
         if now - self._told_at < TELLING_PAUSE_S:
             return None
         speed = self.get_speed()
         if speed is None or not self._is_news(speed.slowness):
             return None
-        self._told = speed
+        self._reported = speed
         self._told_at = now
         return speed
 
     def _is_news(self, slowness: float) -> bool:
-        if self._told is None:
+        if self._reported is None:
             return True
-        return abs(math.log(slowness / self._told.slowness)) > math.log1p(TELLING_CHANGE)
+        return abs(math.log(slowness / self._reported.slowness)) > math.log1p(TELLING_CHANGE)
--- a/dalemast/core/supervision/supervisor.py
+++ b/dalemast/core/supervision/supervisor.py
@@ -22,8 +22,8 @@
     OrderStart,
     OrderStop,
     PreemptRun,
+    ReportCapacity,
     ReportEnd,
-    ReportRoom,
 )
 from dalemast.core.supervision.base import (
     EndedRun,
@@ -31,24 +31,24 @@
     RunId,
     StartOutcome,
     StartRequest,
-    WorkerLife,
+    WorkerIncarnation,
 )
-from dalemast.core.supervision.coming import list_coming
+from dalemast.core.supervision.capacity_releases import list_releases
 from dalemast.core.supervision.departures import DepartureWatch
 from dalemast.core.supervision.health import WorkerHealth
-from dalemast.core.supervision.leases import LEAST_LEASE_SHARE
-from dalemast.core.supervision.lives import WorkerLives
+from dalemast.core.supervision.incarnations import WorkerIncarnations
+from dalemast.core.supervision.leases import MIN_LEASE_SHARE
+from dalemast.core.supervision.owner_leases import OwnerLeases
 from dalemast.core.supervision.preemption import (
     FRESH_S,
     PreemptionBudget,
-    RoomTakeovers,
+    PreemptionReservations,
     VictimChoice,
     get_lost_core_s,
 )
-from dalemast.core.supervision.runs import Run, RunPhase, get_sure_pace
+from dalemast.core.supervision.runs import Run, RunPhase, estimate_min_pace
 from dalemast.core.supervision.slow import judge_run
 from dalemast.core.supervision.speeds import SpeedRecord
-from dalemast.core.supervision.words import OwnerWords
 from dalemast.core.workloads import Resources
 
 __all__ = ["Supervisor", "SupervisorLimits"]
@@ -62,13 +62,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SupervisorLimits:
-    """``owner_patience_s``: an owner's runs are stopped when it is silent for longer.
+    """``owner_timeout_s``: an owner's runs are stopped when it is silent for longer.
 
     ``lease_s`` is how long the worker runs on after its agent's last word, and ``stop_s`` the
     longest time that a stop takes on it.
     """
 
-    owner_patience_s: float
+    owner_timeout_s: float
     lease_s: float
     stop_s: float
 
@@ -79,7 +79,7 @@
     def __init__(self, *, limits: SupervisorLimits, policy: LoadPolicy = NOTHING_ASKED) -> None:
         self._limits = limits
         self._policy = policy
-        self._lives = WorkerLives()
+        self._lives = WorkerIncarnations()
         self._acceptance = Acceptance()
         self._runs: dict[RunId, Run] = {}
         self._used = Resources()
@@ -90,15 +90,15 @@
         self._speeds = SpeedRecord()
         self._speeds_life = ""
         """The life of the worker whose speed is recorded."""
-        self._words = OwnerWords(patience_s=limits.owner_patience_s)
+        self._words = OwnerLeases(timeout_s=limits.owner_timeout_s)
         self._budget = PreemptionBudget()
-        self._takeovers = RoomTakeovers()
+        self._takeovers = PreemptionReservations()
         self._departures = DepartureWatch()
         self._has_looked = False
         self._has_settled = False
 
     @property
-    def life(self) -> WorkerLife | None:
+    def incarnation(self) -> WorkerIncarnation | None:
         """The worker's life, once it has reported."""
         return self._lives.current
 
@@ -108,7 +108,7 @@
         return self._runs
 
     @property
-    def strays(self) -> frozenset[RunId]:
+    def orphaned_runs(self) -> frozenset[RunId]:
         """What runs on the worker that this life of the agent does not know."""
         return frozenset(self._strays)
 
@@ -123,7 +123,7 @@
         return self._budget.core_s
 
     @property
-    def takeovers(self) -> RoomTakeovers:
+    def reservations(self) -> PreemptionReservations:
         """The room that is being made for owners, or kept for them."""
         return self._takeovers
 
@@ -148,7 +148,9 @@
     @property
     def is_leaving(self) -> bool:
         """Whether the worker has said that it leaves, so that its end is no crash."""
-        return self._acceptance.is_ending or (self.life is not None and self.life.is_leaving)
+        return self._acceptance.is_ending or (
+            self.incarnation is not None and self.incarnation.is_leaving
+        )
 
     @property
     def is_idle(self) -> bool:
@@ -158,7 +160,7 @@
     @property
     def is_settled(self) -> bool:
         """Whether nothing runs on the worker that this life of the agent does not know."""
-        return self.life is not None and self._has_looked and not self._strays
+        return self.incarnation is not None and self._has_looked and not self._strays
 
     @property
     def has_settled(self) -> bool:
@@ -169,36 +171,36 @@
         last life left under way by a higher fencing token, and until all strays have ended. A stray
         that begins later is none of the runs that owners still count on.
         """
-        return self.life is not None and self._has_settled
+        return self.incarnation is not None and self._has_settled
 
     def get_free(self) -> Resources:
         """Return what is free on the worker."""
-        life = self._lives.current
-        return Resources() if life is None else life.capacity - self._used
+        incarnation = self._lives.current
+        return Resources() if incarnation is None else incarnation.capacity - self._used
 
     def get_free_for(self, owner: str) -> Resources:
         """Return what an owner may count on: what is free, less what is kept for others."""
         return self.get_free() - Resources(cpu=self._takeovers.get_held_cpu(owner))
 
-    def get_left_s(self, *, now: float) -> float | None:
+    def get_remaining_s(self, *, now: float) -> float | None:
         """Return the least time that the worker has left, in seconds; None if it stays."""
-        return self._departures.get_left_s(now=now)
+        return self._departures.get_remaining_s(now=now)
 
     def get_pace(self) -> float:
         """Return how slow the jobs that run show the worker to be, or 0 if they are too few."""
-        return get_sure_pace(self._runs.values())
+        return estimate_min_pace(self._runs.values())
 
-    def get_coming(self, *, now: float) -> tuple[ComingRoom, ...]:
+    def get_releases(self, *, now: float) -> tuple[ComingRoom, ...]:
         """Return when room comes free for starts, soonest first."""
-        return list_coming(self._runs.values(), now=now) if self.is_accepting(now=now) else ()
+        return list_releases(self._runs.values(), now=now) if self.is_accepting(now=now) else ()
 
     def is_accepting(self, *, now: float) -> bool:
         """Tell whether starts are taken."""
-        if self.life is None or not self._acceptance.allows(self.life):
+        if self.incarnation is None or not self._acceptance.allows(self.incarnation):
             return False
         if not self.is_settled:
             return False
-        if self.get_lease_limit() - now < LEAST_LEASE_SHARE * self._limits.lease_s:
+        if self.get_lease_limit() - now < MIN_LEASE_SHARE * self._limits.lease_s:
             # Something can't be stopped, so all that runs there may soon end with the lease.
             return False
         return self._health.may_start(running=len(self._runs), now=now)
@@ -210,7 +212,7 @@
         """
         if not self.is_settled or self._acceptance.is_ending:
             return float("-inf")
-        return self._words.get_first_end(self._runs.values()) + self._limits.lease_s
+        return self._words.get_first_expiry(self._runs.values()) + self._limits.lease_s
 
     def get_order_limit(self, run_id: RunId) -> float:
         """Return the same for a start; minus infinity once the run is not wanted any more."""
@@ -219,21 +221,24 @@
             return float("-inf")
         return self.get_lease_limit()
 
-    def meet_life(self, life: WorkerLife, *, now: float) -> list[Action]:
+    def register_incarnation(self, incarnation: WorkerIncarnation, *, now: float) -> list[Action]:
         """Take in a worker's account of itself. With a new life, all that ran is over.
 
         While another life is known, it stays until the worker has shown which of the two is there.
         """
-        known = self.life
-        if not self._lives.meet(life, now=now):
+        known = self.incarnation
+        if not self._lives.meet(incarnation, now=now):
             return []
         if known is None:
-            return [*self._begin_life(), *self._watch_departure(life, now)]
-        has_changed = (known.is_leaving, known.capacity) != (life.is_leaving, life.capacity)
-        changes: list[Action] = [ReportRoom()] if has_changed else []
-        return [*changes, *self._watch_departure(life, now)]
+            return [*self._begin_life(), *self._watch_departure(incarnation, now)]
+        has_changed = (known.is_leaving, known.capacity) != (
+            incarnation.is_leaving,
+            incarnation.capacity,
+        )
+        changes: list[Action] = [ReportCapacity()] if has_changed else []
+        return [*changes, *self._watch_departure(incarnation, now)]
 
-    def lose_life(self, *, is_over: bool, is_refused: bool = False) -> list[Action]:
+    def lose_incarnation(self, *, is_over: bool, is_refused: bool = False) -> list[Action]:
         """Note that the worker is gone: its process ended, so nothing runs there.
 
         ``is_over`` tells that this life can't come back: it said that it ends, or another life
@@ -244,32 +249,32 @@
         reason = self._explain_loss(is_process_gone=is_over or is_refused)
         claimant = self._lives.lose(is_over=is_over, has_said_so=has_said_so)
         self._strays.clear()
-        self._departures.begin_life()
+        self._departures.begin_incarnation()
         self._acceptance.is_ending = False
         self._acceptance.is_silent = False
-        actions = [*self._end_all(reason), ReportRoom()]
+        actions = [*self._end_all(reason), ReportCapacity()]
         if claimant is not None:
             actions += self._begin_life()
         return actions
 
-    def end_life(self, life_id: str) -> list[Action]:
+    def end_incarnation(self, life_id: str) -> list[Action]:
         """Take in a life's word that it ends.
 
         It may run on for some seconds, with what runs there: that is over once the worker refuses
         connections or its lease, which is renewed no more, has lapsed.
         """
-        if self.life is None or self.life.id != life_id:
+        if self.incarnation is None or self.incarnation.id != life_id:
             self._lives.bar(life_id)
             return []
         self._acceptance.is_ending = True
-        return [ReportRoom()]
+        return [ReportCapacity()]
 
-    def restore_life(self, life_id: str) -> bool:
+    def restore_incarnation(self, life_id: str) -> bool:
         """Take a life's word back that it ends, since it was another writer's.
 
         Return whether it had been believed. The life's own reports and answers tell the rest.
         """
-        if self.life is not None and self.life.id == life_id:
+        if self.incarnation is not None and self.incarnation.id == life_id:
             was_ending = self._acceptance.is_ending
             self._acceptance.is_ending = False
             return was_ending
@@ -278,38 +283,38 @@
     def drain(self) -> list[Action]:
         """Take no more starts."""
         self._acceptance.is_draining = True
-        return [ReportRoom()]
+        return [ReportCapacity()]
 
     def set_evacuated(self, data_centres: frozenset[str]) -> list[Action]:
         """Take no starts while the worker is in one of these data centres; what runs goes on."""
         self._acceptance.evacuated = data_centres
-        return [ReportRoom()]
+        return [ReportCapacity()]
 
-    def note_silence(self) -> list[Action]:
+    def note_unresponsive(self) -> list[Action]:
         """Take no starts until the worker answers a look."""
         self._acceptance.is_silent = True
-        return [ReportRoom()]
+        return [ReportCapacity()]
 
     def start(self, request: StartRequest, *, now: float) -> list[Action]:
         """Take an owner's start, or say that it was not taken."""
         known = self._runs.get(request.run_id)
         if known is not None and known.request.is_same(request):
             return []
-        if known is not None or self._words.is_too_old(request.said_at, now=now):
+        if known is not None or self._words.is_expired(request.sent_at, now=now):
             # A run of this name is one of the job's earlier submission, which is about to end.
-            return [self._refuse(request, EndReason.NOT_TAKEN), ReportRoom()]
-        self.hear(request.owner, said_at=request.said_at)
+            return [self._refuse(request, EndReason.NOT_TAKEN), ReportCapacity()]
+        self.renew_owner(request.owner, sent_at=request.sent_at)
         if not self.is_accepting(now=now):
-            return [self._refuse(request, EndReason.NOT_TAKEN), ReportRoom()]
+            return [self._refuse(request, EndReason.NOT_TAKEN), ReportCapacity()]
         held = Resources(cpu=self._takeovers.get_held_from(request.owner, request.priority))
         if not request.resources.fits(self.get_free() - held):
-            return [self._refuse(request, EndReason.NO_ROOM), ReportRoom()]
+            return [self._refuse(request, EndReason.NO_ROOM), ReportCapacity()]
         self._runs[request.run_id] = Run(request=request, ordered_at=now)
         self._used += request.resources
         self._takeovers.note_start(request.owner, request.priority)
-        return [OrderStart(request=request), ReportRoom()]
+        return [OrderStart(request=request), ReportCapacity()]
 
-    def take_outcome(
+    def handle_start_outcome(
         self, run_id: RunId, outcome: StartOutcome, *, now: float, expires_at: float
     ) -> list[Action]:
         """Take in what became of an order. ``expires_at`` is when it can no longer be done."""
@@ -332,7 +337,7 @@
             self._health.note_failed(run_id.job_id, now=now)
             self._begin_stop(run, now)
             run.expires_at = expires_at
-            return [OrderStop(run_id=run_id), ReportRoom()]
+            return [OrderStop(run_id=run_id), ReportCapacity()]
         if outcome is StartOutcome.NOT_LISTENING:
             # Until a look finds the worker there, or gone: others would be turned away one by one.
             self._acceptance.is_silent = True
@@ -355,20 +360,20 @@
             return []
         return [self._begin_stop(run, now)]
 
-    def preempt(self, owner: str, want: Want, *, said_at: float, now: float) -> list[Action]:
+    def preempt(self, owner: str, want: Want, *, sent_at: float, now: float) -> list[Action]:
         """Stop less urgent runs for a job that finds no room, if that is worth what is lost.
 
-        ``said_at`` is when the owner said so at the earliest, by this agent's steady clock.
+        ``sent_at`` is when the owner said so at the earliest, by this agent's steady clock.
         """
-        life = self._lives.current
-        if life is None or not self.is_accepting(now=now) or self._takeovers.has_open(owner):
+        incarnation = self._lives.current
+        if incarnation is None or not self.is_accepting(now=now) or self._takeovers.has_open(owner):
             return []
-        if not now - said_at <= FRESH_S:
+        if not now - sent_at <= FRESH_S:
             return []
         choice = VictimChoice(
             stop_s=self._limits.stop_s,
             free_cpu=self.get_free_for(owner).cpu,
-            capacity_cpu=life.capacity.cpu,
+            capacity_cpu=incarnation.capacity.cpu,
             budget_core_s=self._budget.core_s,
         )
         victims = choice.choose(self._runs.values(), want, now=now)
@@ -377,11 +382,11 @@
         self._takeovers.begin(owner, want, victims, now=now)
         return [self._preempt_run(run, want, now) for run in victims]
 
-    def withdraw(self, owner: str) -> list[Action]:
+    def withdraw_request(self, owner: str) -> list[Action]:
         """Note that an owner wants no room any more, so that others get what was kept for it."""
-        return [ReportRoom()] if self._takeovers.give_up(owner) else []
+        return [ReportCapacity()] if self._takeovers.give_up(owner) else []
 
-    def take_stop_answer(self, run_id: RunId, *, now: float) -> list[Action]:
+    def handle_stop_response(self, run_id: RunId, *, now: float) -> list[Action]:
         """Note that the worker answered a stop.
 
         A run that was never listed can't begin any more. It may be going, though, and then it ends
@@ -392,7 +397,7 @@
             run.barred_at = now + self._limits.stop_s + STOP_MARGIN_S
         return []
 
-    def look(
+    def handle_poll(
         self,
         running: Iterable[ListedRun],
         ended: Iterable[EndedRun],
@@ -416,7 +421,7 @@
         self._has_settled |= self.is_settled
         if self.is_settled and not was_ready:
             # From now on starts are taken, and owners hear of it by the report alone.
-            actions.append(ReportRoom())
+            actions.append(ReportCapacity())
         for run in self._runs.values():
             if run.phase is RunPhase.RUNNING:
                 actions += self._judge_pace(run, now)
@@ -426,11 +431,11 @@
                 actions += self._see_missing(run, asked_at, now)
         return actions
 
-    def hear(self, owner: str, *, said_at: float) -> None:
+    def renew_owner(self, owner: str, *, sent_at: float) -> None:
         """Note that an owner keeps its runs alive, but for those that were told to stop."""
-        self._words.hear(owner, said_at=said_at)
+        self._words.renew(owner, sent_at=sent_at)
 
-    def forget_told(self, owner: str) -> None:
+    def reset_departure_reports(self, owner: str) -> None:
         """Let an owner that was just met be told anew of runs that are cut short."""
         for run in self._runs.values():
             if run.request.owner == owner:
@@ -447,10 +452,10 @@
             if run.barred_at is not None and now >= run.barred_at and not run.was_listed:
                 actions += self._end(run, EndReason.STOPPED, now)
         for run in self._runs.values():
-            if run.phase is not RunPhase.STOPPING and now > self._words.get_kept_until(run):
+            if run.phase is not RunPhase.STOPPING and now > self._words.get_expiry(run):
                 actions.append(self._begin_stop(run, now))
         if self._takeovers.drop_overdue(now=now):
-            actions.append(ReportRoom())
+            actions.append(ReportCapacity())
         return actions
 
     def get_unstopped(self, *, now: float, older_than_s: float) -> list[RunId]:
@@ -463,7 +468,7 @@
 
     def _begin_stop(self, run: Run, now: float) -> OrderStop:
         """Tell a run to stop. From now on its owner's words keep it alive no longer."""
-        run.kept_until = self._words.get_kept_until(run)
+        run.kept_until = self._words.get_expiry(run)
         run.phase = RunPhase.STOPPING
         run.stopping_since = now
         return OrderStop(run_id=run.request.run_id)
@@ -528,10 +533,10 @@
 
     def _note_work(self, run: Run, now: float) -> None:
         """Count work that ended well: a share of it may be thrown away for more urgent work."""
-        life = self._lives.current
-        if life is not None:
+        incarnation = self._lives.current
+        if incarnation is not None:
             core_s = get_lost_core_s(run, now=now)
-            self._budget.note_done(core_s, capacity_cpu=life.capacity.cpu)
+            self._budget.note_done(core_s, capacity_cpu=incarnation.capacity.cpu)
 
     def _learn_speed(self, run: Run, now: float) -> None:
         request = run.request
@@ -550,14 +555,14 @@
             reason=_name_end(run, reason),
             run_s=now - run.started_at,
         )
-        return [report, ReportRoom()]
+        return [report, ReportCapacity()]
 
-    def _watch_departure(self, life: WorkerLife, now: float) -> list[Action]:
+    def _watch_departure(self, incarnation: WorkerIncarnation, now: float) -> list[Action]:
         """Tell owners when the worker leaves, and which of their runs it can't end."""
         if not self._policy.plans_departures:
             return []
-        told = self._departures.meet(life, now=now)
-        if not life.is_leaving:
+        told = self._departures.meet(incarnation, now=now)
+        if not incarnation.is_leaving:
             # Owners forget what is cut short, and are told anew if it leaves after all.
             for run in self._runs.values():
                 run.told_cut = None
@@ -565,17 +570,17 @@
 
     def _begin_life(self) -> list[Action]:
         """Start over with a life of which nothing is known yet, or that was out of reach."""
-        life = self.life
-        if life is not None and life.id != self._speeds_life:
+        incarnation = self.incarnation
+        if incarnation is not None and incarnation.id != self._speeds_life:
             self._speeds = SpeedRecord()
-            self._speeds_life = life.id
+            self._speeds_life = incarnation.id
         self._health = WorkerHealth()
         self._takeovers.clear()
         self._strays.clear()
         self._has_looked = False
         self._has_settled = False
         self._acceptance.is_silent = False
-        return [ReportRoom()]
+        return [ReportCapacity()]
 
     def _explain_loss(self, *, is_process_gone: bool) -> EndReason:
         """Return how the runs ended that a lost life had.
--- a/dalemast/core/workloads/base.py
+++ b/dalemast/core/workloads/base.py
@@ -67,14 +67,14 @@
 class JobRequest:
     """A job as it arrived. ``id`` is the caller's own; ``payload`` is passed on untouched.
 
-    ``patience_s`` is how long the caller waits for the answer, from the arrival.
+    ``timeout_s`` is how long the caller waits for the answer, from the arrival.
     """
 
     id: str
     queue: Queue
     payload: str
     steps: tuple[StepRequest, ...]
-    patience_s: float
+    timeout_s: float
 
     @property
     def core_seconds(self) -> float:
--- a/dalemast/emulator/simulation.py
+++ b/dalemast/emulator/simulation.py
@@ -32,22 +32,22 @@
 from dalemast.core.scheduling.telling import DemandAudience, get_news_pause_s
 from dalemast.core.supervision import Action as AgentAction
 from dalemast.core.supervision import (
+    CapacitySubscriber,
     EndedRun,
     ListedRun,
     OrderStart,
     PreemptRun,
+    ReportCapacity,
     ReportEnd,
-    ReportRoom,
-    RoomAudience,
     RunId,
     StartOutcome,
     StartRequest,
     Supervisor,
     SupervisorLimits,
-    WorkerLife,
-    find_neediest,
-    get_room_pause,
-    get_turn,
+    WorkerIncarnation,
+    find_most_urgent,
+    get_report_interval_s,
+    get_report_order,
     list_crashed,
 )
 from dalemast.core.workloads import Resources
@@ -66,7 +66,7 @@
 """Pause after which an owner tells again what waits with it."""
 TICK_S = 0.05
 """The grain of owners' and agents' time-outs."""
-SIMULATED_LIMITS = SupervisorLimits(owner_patience_s=1e9, lease_s=0.6, stop_s=0.05)
+SIMULATED_LIMITS = SupervisorLimits(owner_timeout_s=1e9, lease_s=0.6, stop_s=0.05)
 """No owner is ever out of reach, so none falls silent."""
 
 
@@ -262,7 +262,7 @@
         self._owners = owners
         self._stop_rng = random.Random(f"stops of {number}")
         self._seen = [0] * owners
-        self._audiences = [RoomAudience() for _ in range(owners)]
+        self._audiences = [CapacitySubscriber() for _ in range(owners)]
         self._near_owners = sum(self._is_near(owner) for owner in range(owners))
         self._ended_for: int | None = None
         self._spans: dict[RunId, tuple[float, float]] = {}
@@ -289,8 +289,8 @@
         """Meet the worker and tell the owners."""
         self._is_up = True
         now = self._simulation.now
-        self._supervisor.meet_life(
-            WorkerLife(
+        self._supervisor.register_incarnation(
+            WorkerIncarnation(
                 id=self._name,
                 service="floor",
                 data_centre="",
@@ -300,7 +300,7 @@
             ),
             now=now,
         )
-        self._supervisor.look((), (), asked_at=now, now=now)
+        self._supervisor.handle_poll((), (), asked_at=now, now=now)
         for owner in range(self._owners):
             view = WorkerView(
                 name=self._name,
@@ -311,24 +311,24 @@
             )
             self._simulation.add_view(owner, view)
         for audience in self._audiences:
-            audience.hasten()
+            audience.mark_urgent()
         self._tell_room()
 
     def take_want(self, owner: int, want: Want | None) -> None:
         """Take in what an owner lacks room for."""
         hears_coming = self._simulation.shape.policy.shares_demand
-        self._audiences[owner].take_want(want, hears_coming=hears_coming)
+        self._audiences[owner].set_request(want, receives_releases=hears_coming)
         self._offer_room()
         self._tell_due()
         now = self._simulation.now
         if want is None:
-            self._apply(self._supervisor.withdraw(str(owner)))
+            self._apply(self._supervisor.withdraw_request(str(owner)))
         elif self._simulation.shape.policy.preempts:
-            self._apply(self._supervisor.preempt(str(owner), want, said_at=now, now=now))
+            self._apply(self._supervisor.preempt(str(owner), want, sent_at=now, now=now))
 
     def take(self, owner: int, start: StartTask, want: Want | None) -> None:
         """Take a start, and what its owner still lacks room for."""
-        self._audiences[owner].want = want
+        self._audiences[owner].request = want
         self._seen[owner] = max(self._seen[owner], start.number)
         request = StartRequest(
             owner=str(owner),
@@ -337,7 +337,7 @@
             resources=start.job.steps[start.task.step].resources,
             expected_s=start.expected_s,
             number=start.number,
-            said_at=self._simulation.now,
+            sent_at=self._simulation.now,
             priority=start.job.queue.priority,
             spare_s=start.spare_s,
         )
@@ -357,7 +357,7 @@
                     self._preempt(action)
                 case ReportEnd():
                     self._tell_end(action)
-                case ReportRoom():
+                case ReportCapacity():
                     is_room_due = True
         if is_room_due:
             self._tell_room()
@@ -367,7 +367,7 @@
             return
         now = self._simulation.now
         self._apply(
-            self._supervisor.take_outcome(
+            self._supervisor.handle_start_outcome(
                 run_id, StartOutcome.RUNNING, now=now, expires_at=now + 1.0
             )
         )
@@ -400,7 +400,7 @@
             self._simulation.tell_owner(
                 owner, lambda scheduler: scheduler.note_crash(life, tasks, now=self._simulation.now)
             )
-        self._apply(self._supervisor.lose_life(is_over=False, is_refused=True))
+        self._apply(self._supervisor.lose_incarnation(is_over=False, is_refused=True))
         for owner in range(self._owners):
             self._simulation.tell_owner(
                 owner, lambda scheduler: scheduler.lose_worker(life, now=self._simulation.now)
@@ -429,12 +429,12 @@
             ListedRun(listed, 100 * (now - began) / run_s)
             for listed, (began, run_s) in self._spans.items()
         ]
-        self._apply(self._supervisor.look(running, (ended,), asked_at=now, now=now))
+        self._apply(self._supervisor.handle_poll(running, (ended,), asked_at=now, now=now))
         if self._simulation.shape.policy.learns_speeds:
             self._tell_speed()
 
     def _tell_speed(self) -> None:
-        speed = self._supervisor.speeds.take_news(now=self._simulation.now)
+        speed = self._supervisor.speeds.take_report(now=self._simulation.now)
         if speed is None:
             return
         life = self._name
@@ -468,25 +468,25 @@
     def _offer_room(self) -> None:
         """Let the neediest owner hear at once, or else the one whose run has ended."""
         ended_for, self._ended_for = self._ended_for, None
-        for ready in self._supervisor.takeovers.take_ready():
-            self._audiences[int(ready)].hasten()
-        first = find_neediest(self._audiences, free_cpu=self._supervisor.get_free().cpu)
+        for ready in self._supervisor.reservations.take_ready():
+            self._audiences[int(ready)].mark_urgent()
+        first = find_most_urgent(self._audiences, free_cpu=self._supervisor.get_free().cpu)
         if first is None and ended_for is not None:
             first = self._audiences[ended_for]
         if first is not None and first.is_due:
-            first.hasten()
+            first.mark_urgent()
 
     def _tell_due(self) -> None:
         """Report to the owners whose pause is over, and look again soon if some are left."""
         now = self._simulation.now
-        told: list[RoomAudience] = []
+        told: list[CapacitySubscriber] = []
         for owner, audience in self._list_in_turn():
             pause_s = self._get_pause_s(owner)
             if not audience.take_due(now=now, pause_s=pause_s):
                 continue
             told.append(audience)
             self._simulation.reports += 1
-            if self._simulation.shape.policy.shares_demand and not audience.is_content:
+            if self._simulation.shape.policy.shares_demand and not audience.is_satisfied:
                 self._tell_coming(owner)
             report = RoomReport(
                 seen=self._seen[owner],
@@ -500,21 +500,21 @@
                 ),
             )
         if len(told) > 1:
-            told[0].note_first(now=now)
+            told[0].record_first(now=now)
         if not self._is_report_planned:
             self._is_report_planned = True
             self._simulation.at(now + TICK_S, self._tick)
 
-    def _list_in_turn(self) -> list[tuple[int, RoomAudience]]:
+    def _list_in_turn(self) -> list[tuple[int, CapacitySubscriber]]:
         """Return the owners' numbers and audiences in the order in which they are told."""
         audiences = list(enumerate(self._audiences))
         if self._simulation.shape.policy.shares_demand:
-            audiences.sort(key=lambda row: get_turn(row[1]))
+            audiences.sort(key=lambda row: get_report_order(row[1]))
         return audiences
 
     def _tell_coming(self, owner: int) -> None:
         """Tell an owner that lacks room when some comes free."""
-        rows, life = self._supervisor.get_coming(now=self._simulation.now), self._name
+        rows, life = self._supervisor.get_releases(now=self._simulation.now), self._name
         self._simulation.note(
             owner, lambda s: s.note_coming_room(life, rows, now=self._simulation.now)
         )
@@ -529,10 +529,10 @@
         if self._simulation.shape.tells_at_once:
             return 0.0
         is_near = self._is_near(owner)
-        return get_room_pause(
-            is_near=is_near,
+        return get_report_interval_s(
+            is_same_data_centre=is_near,
             owners=self._near_owners if is_near else self._owners - self._near_owners,
-            is_content=self._audiences[owner].is_content,
+            is_satisfied=self._audiences[owner].is_satisfied,
         )
 
     def _is_near(self, owner: int) -> bool:
--- a/dalemast/emulator/traffic.py
+++ b/dalemast/emulator/traffic.py
@@ -191,7 +191,7 @@
         slack_s=0.06,
     )
     request = JobRequest(
-        id=f"{number:016x}", queue=queue, payload="", steps=(step,), patience_s=30.0
+        id=f"{number:016x}", queue=queue, payload="", steps=(step,), timeout_s=30.0
     )
     return Arrival(at=at, kind=kind, request=request, run_times=run_times)
 
--- a/dalemast/fleet/agent/dialling.py
+++ b/dalemast/fleet/agent/dialling.py
@@ -103,7 +103,9 @@
             if not self._is_unreachable(address, now)
         }
         known = [
-            KnownEntry(name=name, is_near=members[address].data_centre == self._data_centre)
+            KnownEntry(
+                name=name, is_same_data_centre=members[address].data_centre == self._data_centre
+            )
             for name, address in by_name.items()
         ]
         return {by_name[name] for name in choose_owners(self._name, known, bounds=self._bounds)}
--- a/dalemast/fleet/agent/owner_sessions.py
+++ b/dalemast/fleet/agent/owner_sessions.py
@@ -6,7 +6,7 @@
 
 from dalemast import clock
 from dalemast.core.clocks import LeastLead
-from dalemast.core.supervision import RoomAudience
+from dalemast.core.supervision import CapacitySubscriber
 from dalemast.fleet.base import Member
 from dalemast.fleet.frames import ClockAnswer, ClockAsk, EntryMessage, Reconciled, Said
 from dalemast.fleet.links import Link
@@ -51,7 +51,7 @@
         reach, and no start of it is taken, since it counts what it was not told of as over."""
         self.seen = 0
         """The number of the last start that arrived on this link."""
-        self.audience = RoomAudience()
+        self.audience = CapacitySubscriber()
         self.has_coming = False
         """Whether the entry was told of room that comes free, and not since that none does."""
         self.clock_asked_at = float("-inf")
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -8,9 +8,9 @@
 from dalemast.core.ownership import LinkBounds
 from dalemast.core.scheduling import CrashedTask, LoadPolicy, Want
 from dalemast.core.supervision import (
-    ReportCutShort,
+    ReportDeparture,
+    ReportDepartureRisk,
     ReportEnd,
-    ReportLeaving,
     ReportSlow,
     RunId,
     RunPhase,
@@ -135,7 +135,7 @@
             self.end_session(session)
             return
         # After the stops of this frame, which it does not keep alive.
-        self._supervisor.hear(session.owner, said_at=session.said_at)
+        self._supervisor.renew_owner(session.owner, sent_at=session.said_at)
 
     def end_session(self, session: OwnerSession) -> None:
         """Note that a link has ended; its owner's runs go on for as long as patience lasts."""
@@ -182,12 +182,12 @@
             )
         )
 
-    def report_leaving(self, report: ReportLeaving) -> None:
+    def report_leaving(self, report: ReportDeparture) -> None:
         """Tell all entries how long the worker stays at the least."""
         for session in self._sessions.values():
             session.link.send(make_leaving(report.in_s))
 
-    def report_cut_short(self, report: ReportCutShort) -> None:
+    def report_cut_short(self, report: ReportDepartureRisk) -> None:
         """Tell an owner of a run that the worker can't end before it leaves."""
         session = self._sessions.get(report.owner)
         if session is None:
@@ -269,7 +269,7 @@
                 self._stop(run_id, session.owner)
             case Wants():
                 self._reports.take_want(session, message.want, now=clock.monotonic())
-                self._take_want(session.owner, session.audience.want, session.said_at)
+                self._take_want(session.owner, session.audience.request, session.said_at)
             case EntriesAsk():
                 self._relay.take_ask(session, message)
             case Relayed() | RouteEnded():
@@ -302,7 +302,7 @@
         for crashed in self._crashes.crashes:
             # Before the runs that are there: one that is missing there may have ended its worker.
             session.link.send(crashed)
-        self._supervisor.forget_told(session.owner)
+        self._supervisor.reset_departure_reports(session.owner)
         self._reports.greet(session, now=clock.monotonic())
         log_event("entry:link", entry=session.member.name, runs=self._count_runs(session))
 
@@ -318,7 +318,7 @@
                 self.end_session(session)
 
     def _take_starts(self, session: OwnerSession, starts: Starts) -> None:
-        session.audience.want = to_want(starts.want)
+        session.audience.request = to_want(starts.want)
         for row in starts.tasks:
             session.seen = max(session.seen, row.number)
             self._start(
@@ -329,7 +329,7 @@
                     resources=Resources(cpu=row.cpu, memory_mb=row.memory_mb, gpu=row.gpu),
                     expected_s=row.expected_s,
                     number=row.number,
-                    said_at=session.said_at,
+                    sent_at=session.said_at,
                     priority=starts.priority,
                     spare_s=None if row.spare_s < 0 else row.spare_s,
                 )
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -39,7 +39,7 @@
     def __init__(self, *, settings: FleetAgentSettings) -> None:
         super().__init__(settings=settings, book=AddressBook())
         limits = SupervisorLimits(
-            owner_patience_s=self._times.owner_patience_s,
+            owner_timeout_s=self._times.owner_timeout_s,
             lease_s=self._times.lease_s,
             stop_s=self._times.stop_s,
         )
@@ -56,7 +56,9 @@
             incarnation=make_incarnation(),
             data_centre=settings.data_centre,
             book=self._book,
-            bounds=LinkBounds(near=settings.max_near_links, far=settings.max_far_links),
+            bounds=LinkBounds(
+                same_data_centre=settings.max_near_links, other_data_centres=settings.max_far_links
+            ),
             supervisor=self._supervisor,
             evacuations=self._evacuations,
             times=self._times,
@@ -74,7 +76,7 @@
             observer=self._worker,
             metrics=self._metrics,
         )
-        self._pauses = PauseWatch(limit_s=self._times.owner_patience_s)
+        self._pauses = PauseWatch(limit_s=self._times.owner_timeout_s)
 
     async def start(self) -> None:
         """Listen to the worker, dial the entries."""
@@ -100,8 +102,8 @@
 
     def get_state(self) -> dict[str, object]:
         """Return the dump."""
-        life = self._supervisor.life
-        left_s = self._supervisor.get_left_s(now=clock.monotonic())
+        life = self._supervisor.incarnation
+        left_s = self._supervisor.get_remaining_s(now=clock.monotonic())
         speed = self._supervisor.speeds.get_speed()
         return {
             "name": self._settings.name,
@@ -109,14 +111,14 @@
             "is_accepting": self._supervisor.is_accepting(now=clock.monotonic()),
             "evacuated": sorted(self._evacuations.data_centres),
             "leaves_in_s": None if left_s is None else round(left_s, 3),
-            "is_doubted": self._supervisor.health.is_doubted,
+            "is_doubted": self._supervisor.health.is_suspected,
             "free_cpu": self._supervisor.get_free().cpu,
             "coming": [
-                (row.in_s, row.cpu) for row in self._supervisor.get_coming(now=clock.monotonic())
+                (row.in_s, row.cpu) for row in self._supervisor.get_releases(now=clock.monotonic())
             ],
             "runs": len(self._supervisor.runs),
             "preemption": {
-                "takeovers": len(self._supervisor.takeovers),
+                "takeovers": len(self._supervisor.reservations),
                 "budget_core_s": round(self._supervisor.budget_core_s, 3),
             },
             "slowness": speed.slowness if speed else None,
--- a/dalemast/fleet/agent/relay.py
+++ b/dalemast/fleet/agent/relay.py
@@ -77,7 +77,7 @@
         left = {
             run.request.run_id.job_id for run in runs if run.request.owner not in self._sessions
         }
-        left.update(run_id.job_id for run_id in self._supervisor.strays)
+        left.update(run_id.job_id for run_id in self._supervisor.orphaned_runs)
         return HeardEntries(owners=frozenset(self._sessions), left_jobs=frozenset(left))
 
     def _tell(self, session: OwnerSession, heard: HeardEntries) -> None:
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -6,7 +6,13 @@
 
 from dalemast import clock
 from dalemast.core.scheduling import LoadPolicy, Want
-from dalemast.core.supervision import RunId, Supervisor, find_neediest, get_room_pause, get_turn
+from dalemast.core.supervision import (
+    RunId,
+    Supervisor,
+    find_most_urgent,
+    get_report_interval_s,
+    get_report_order,
+)
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.frames import (
@@ -81,7 +87,7 @@
     def greet(self, session: OwnerSession, *, now: float) -> None:
         """Tell an entry that was just met of the worker and its room."""
         self._tell_worker(session)
-        session.audience.hasten()
+        session.audience.mark_urgent()
         self.send_due(now=now)
 
     def note_end(self, session: OwnerSession) -> None:
@@ -98,7 +104,7 @@
 
     def take_want(self, session: OwnerSession, want: WantRow | None, *, now: float) -> None:
         """Take in what an entry lacks room for; if it wants none, the next one is offered it."""
-        session.audience.take_want(to_want(want), hears_coming=self._policy.shares_demand)
+        session.audience.set_request(to_want(want), receives_releases=self._policy.shares_demand)
         self._offer_room()
         self.send_due(now=now)
 
@@ -106,16 +112,16 @@
         """Let one entry hear at once: the neediest, or else the one whose run has ended."""
         ended_for, self._ended_for = self._ended_for, None
         audiences = [session.audience for session in self._sessions.values()]
-        for owner in self._supervisor.takeovers.take_ready():
+        for owner in self._supervisor.reservations.take_ready():
             # Runs were stopped for this entry, and others are told of less meanwhile.
             ready = self._sessions.get(owner)
             if ready is not None:
-                ready.audience.hasten()
-        first = find_neediest(audiences, free_cpu=self._supervisor.get_free().cpu)
+                ready.audience.mark_urgent()
+        first = find_most_urgent(audiences, free_cpu=self._supervisor.get_free().cpu)
         if first is None and ended_for is not None:
             first = ended_for.audience
         if first is not None and first.is_due:
-            first.hasten()
+            first.mark_urgent()
 
     def refresh(self, *, now: float) -> None:
         """Take in whether the worker's life has changed, or whether it takes starts."""
@@ -130,22 +136,22 @@
         if not due:
             return
         if self._policy.shares_demand:
-            due.sort(key=lambda session: get_turn(session.audience))
+            due.sort(key=lambda session: get_report_order(session.audience))
         told: list[OwnerSession] = []
         near = sum(session.is_near for session in self._sessions.values())
         far = len(self._sessions) - near
         for session in due:
             audience = session.audience
-            pause_s = get_room_pause(
-                is_near=session.is_near,
+            pause_s = get_report_interval_s(
+                is_same_data_centre=session.is_near,
                 owners=near if session.is_near else far,
-                is_content=audience.is_content,
+                is_satisfied=audience.is_satisfied,
             )
             if audience.take_due(now=now, pause_s=pause_s):
                 self._send_room(session, now)
                 told.append(session)
         if len(told) > 1:
-            told[0].audience.note_first(now=now)
+            told[0].audience.record_first(now=now)
 
     def _announce_worker(self) -> None:
         """Tell all entries of the worker's life if it or its room has changed, or become known."""
@@ -155,14 +161,14 @@
         self._announced = known
         for session in self._sessions.values():
             self._tell_worker(session)
-            session.audience.hasten()
+            session.audience.mark_urgent()
 
     def _announce_speed(self, now: float) -> None:
         """Tell all entries how fast the worker is, if that is known by now or has changed."""
         if not self._announced[0]:
             return
-        before = self._supervisor.speeds.told
-        speed = self._supervisor.speeds.take_news(now=now)
+        before = self._supervisor.speeds.reported
+        speed = self._supervisor.speeds.take_report(now=now)
         if speed is None:
             return
         log_event(
@@ -182,7 +188,7 @@
             return
         self._was_accepting = is_accepting
         for session in self._sessions.values():
-            session.audience.hasten()
+            session.audience.mark_urgent()
 
     def _send_room(self, session: OwnerSession, now: float) -> None:
         if self._policy.shares_demand:
@@ -202,7 +208,7 @@
 
     def _send_coming(self, session: OwnerSession, now: float) -> None:
         """Tell an entry that lacks room when some comes free, and once when none does any more."""
-        is_content = session.audience.is_content
+        is_content = session.audience.is_satisfied
         rows = () if is_content else self._get_coming_rows(now)
         if not rows and not session.has_coming:
             return
@@ -212,13 +218,13 @@
 
     def _get_coming_rows(self, now: float) -> tuple[ComingRow, ...]:
         if self._coming[0] != now:
-            steps = self._supervisor.get_coming(now=now)
+            steps = self._supervisor.get_releases(now=now)
             self._coming = (now, tuple(ComingRow(in_s=step.in_s, cpu=step.cpu) for step in steps))
         return self._coming[1]
 
     def _get_known(self) -> tuple[str, Resources | None]:
         """Return the worker's life and capacity, or no id while owners are not told of it."""
-        life = self._supervisor.life
+        life = self._supervisor.incarnation
         if life is None or not self._supervisor.has_settled:
             return "", None
         return life.id, life.capacity
@@ -226,7 +232,7 @@
     def _tell_worker(self, session: OwnerSession) -> None:
         """Tell an entry of the worker, and which of its runs are there."""
         number = session.begin_news()
-        life = self._supervisor.life
+        life = self._supervisor.incarnation
         if life is None or not self._supervisor.has_settled:
             news = WorkerNews(
                 id="", service="", cpu=0, memory_mb=0, gpu=0, labels=(), number=number
@@ -245,7 +251,7 @@
             number=number,
         )
         session.link.send(news)
-        left_s = self._supervisor.get_left_s(now=clock.monotonic())
+        left_s = self._supervisor.get_remaining_s(now=clock.monotonic())
         if left_s is not None:
             session.link.send(make_leaving(left_s))
         if self._policy.learns_speeds:
@@ -253,6 +259,6 @@
 
     def _tell_speed(self, session: OwnerSession) -> None:
         """Tell an entry the worker's speed as it was told last, so that all believe alike."""
-        speed = self._supervisor.speeds.told
+        speed = self._supervisor.speeds.reported
         if speed is not None:
             session.link.send(WorkerPace(slowness=speed.slowness, runs=speed.runs))
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -9,21 +9,21 @@
 from dalemast.core.scheduling import EndReason, Want
 from dalemast.core.supervision import (
     Action,
-    LookSchedule,
     OrderStart,
     OrderStop,
+    PollSchedule,
     PreemptRun,
-    ReportCutShort,
+    ReportCapacity,
+    ReportDeparture,
+    ReportDepartureRisk,
     ReportEnd,
-    ReportLeaving,
-    ReportRoom,
     ReportSlow,
     Run,
     RunId,
     StartOutcome,
     StartRequest,
     Supervisor,
-    WorkerLife,
+    WorkerIncarnation,
     list_crashed,
 )
 from dalemast.fleet.agent.owners import OwnerLinks
@@ -65,7 +65,7 @@
         self._orders: set[asyncio.Task[None]] = set()
         self._addressed_life = ""
         self._doubtful_life = ""
-        self._looks = LookSchedule()
+        self._looks = PollSchedule()
         self._refused = 0
         self._looked_at = float("-inf")
         self._answered_at = float("-inf")
@@ -76,9 +76,9 @@
         """Take who is told of ends and room."""
         self._owners = owners
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerIncarnation) -> None:
         """Take in the worker's account of itself."""
-        known = self._supervisor.life
+        known = self._supervisor.incarnation
         if known is not None and known.id == life.id and known.is_leaving != life.is_leaving:
             log_event("worker:leaving", worker=life.id, remaining_s=life.remaining_s)
         if known is not None and known.id == life.id and known.capacity != life.capacity:
@@ -90,15 +90,15 @@
                 memory_mb=life.capacity.memory_mb,
                 free_cpu=life.capacity.cpu - known.capacity.cpu + self._supervisor.get_free().cpu,
             )
-        actions = self._supervisor.meet_life(life, now=clock.monotonic())
-        believed = self._supervisor.life
+        actions = self._supervisor.register_incarnation(life, now=clock.monotonic())
+        believed = self._supervisor.incarnation
         if believed is None or believed.id != life.id:
             self._note_doubtful(life.id, believed)
         self._follow_life()
         self.apply(actions)
         self._wake.set()
 
-    def _note_doubtful(self, life_id: str, believed: WorkerLife | None) -> None:
+    def _note_doubtful(self, life_id: str, believed: WorkerIncarnation | None) -> None:
         """Tell of a report that names another life, once for each that follows another."""
         if life_id == self._doubtful_life:
             return
@@ -107,16 +107,16 @@
             "worker:doubtful-report", worker=life_id, believed=believed.id if believed else ""
         )
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """Note that a life of the worker has said that it ends."""
         log_event("worker:deregistered", worker=life_id)
-        self._change_life(lambda: self._supervisor.end_life(life_id))
+        self._change_life(lambda: self._supervisor.end_incarnation(life_id))
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """Note that it was another writer that said so."""
-        if self._supervisor.restore_life(life_id):
+        if self._supervisor.restore_incarnation(life_id):
             log_event("worker:restored", worker=life_id)
-            self.apply([ReportRoom()])
+            self.apply([ReportCapacity()])
 
     def start(self, request: StartRequest) -> None:
         """Take an owner's start."""
@@ -130,9 +130,9 @@
         """Make room for an owner that asks for it, or give back what was kept for it."""
         now = clock.monotonic()
         if want is None:
-            self.apply(self._supervisor.withdraw(owner))
+            self.apply(self._supervisor.withdraw_request(owner))
         else:
-            self.apply(self._supervisor.preempt(owner, want, said_at=said_at, now=now))
+            self.apply(self._supervisor.preempt(owner, want, sent_at=said_at, now=now))
 
     def apply(self, actions: list[Action]) -> None:
         """Carry out what the supervisor decided."""
@@ -152,12 +152,12 @@
                     self._owners.report_end(action)
                 case ReportSlow():
                     self._owners.report_slow(action)
-                case ReportLeaving():
+                case ReportDeparture():
                     self._owners.report_leaving(action)
-                case ReportCutShort():
+                case ReportDepartureRisk():
                     self._metrics.count("runs.cut-short")
                     self._owners.report_cut_short(action)
-                case ReportRoom():
+                case ReportCapacity():
                     is_room_due = True
         if is_room_due:
             self._owners.mark_room()
@@ -185,7 +185,7 @@
             await self._look()
 
     def _is_look_due(self) -> bool:
-        if self._supervisor.life is None:
+        if self._supervisor.incarnation is None:
             return False
         return self._supervisor.has_work or clock.monotonic() - self._looked_at > IDLE_LOOK_S
 
@@ -205,7 +205,7 @@
             return
         except WorkerReplaced as error:
             log_event("worker:replaced", reason=str(error))
-            self._change_life(lambda: self._supervisor.lose_life(is_over=True))
+            self._change_life(lambda: self._supervisor.lose_incarnation(is_over=True))
             return
         except WorkerGone as error:
             await self._note_refused(str(error))
@@ -214,24 +214,26 @@
         self._looks.note_answer(now=now)
         self._answered_at = max(self._answered_at, look.asked_at)
         self._refused = 0
-        life = self._supervisor.life
+        life = self._supervisor.incarnation
         if life is not None:
             self._owners.note_worker_there(life.id)
-        actions = self._supervisor.look(look.running, look.ended, asked_at=look.asked_at, now=now)
+        actions = self._supervisor.handle_poll(
+            look.running, look.ended, asked_at=look.asked_at, now=now
+        )
         self.apply(actions)
         if not is_waiting and self._supervisor.has_work:
             await asyncio.sleep(STRAYS_PAUSE_S)
 
     def _note_silence(self) -> None:
-        if self._looks.shows_silence(now=clock.monotonic()):
-            self.apply(self._supervisor.note_silence())
+        if self._looks.is_newly_unresponsive(now=clock.monotonic()):
+            self.apply(self._supervisor.note_unresponsive())
         if self._looks.unanswered == SILENT_LOOKS:
             log_event("worker:silent", runs=len(self._supervisor.runs))
 
     def _give_up_lapsed(self) -> None:
         """Give a silent worker up once all that it ran has lapsed, so that it can run elsewhere."""
         if clock.monotonic() > self._driver.leased_until:
-            self._change_life(lambda: self._supervisor.lose_life(is_over=False))
+            self._change_life(lambda: self._supervisor.lose_incarnation(is_over=False))
 
     async def _note_refused(self, reason: str) -> None:
         """A refused connection may be a reset in passing: only two in a row end the life."""
@@ -241,15 +243,15 @@
             return
         log_event("worker:refused", reason=reason)
         self._refused = 0
-        self._change_life(lambda: self._supervisor.lose_life(is_over=False, is_refused=True))
+        self._change_life(lambda: self._supervisor.lose_incarnation(is_over=False, is_refused=True))
 
     def _change_life(self, change: Callable[[], list[Action]]) -> None:
         """Let the supervisor give a life up, and address calls to the one it believes in then."""
-        before = self._supervisor.life
+        before = self._supervisor.incarnation
         runs = list(self._supervisor.runs.values())
         is_planned = self._supervisor.is_leaving
         actions = change()
-        after = self._supervisor.life
+        after = self._supervisor.incarnation
         if before is not None and (after is None or after.id != before.id):
             has_crashed = any(
                 isinstance(action, ReportEnd) and action.reason is EndReason.CRASHED
@@ -260,7 +262,7 @@
         self.apply(actions)
 
     def _note_gone(
-        self, life: WorkerLife, runs: list[Run], *, has_crashed: bool, is_planned: bool
+        self, life: WorkerIncarnation, runs: list[Run], *, has_crashed: bool, is_planned: bool
     ) -> None:
         """Tell how a life ended, and what ran on it: one of its tasks may have ended it."""
         assert self._owners is not None
@@ -283,7 +285,7 @@
 
     def _follow_life(self) -> None:
         """Address calls to the life that the supervisor believes in."""
-        life = self._supervisor.life
+        life = self._supervisor.incarnation
         if life is None:
             self._addressed_life = ""
             return
@@ -291,7 +293,7 @@
             return
         self._addressed_life = life.id
         self._driver.meet(life)
-        self._looks.begin_life()
+        self._looks.begin_incarnation()
         self._refused = 0
         log_event("worker:met", worker=life.id, cpu=life.capacity.cpu)
 
@@ -305,7 +307,7 @@
         self._log_start(request.run_id, outcome, took_s=now - began)
         if outcome is StartOutcome.RUNNING:
             self._answered_at = max(self._answered_at, began)
-        actions = self._supervisor.take_outcome(
+        actions = self._supervisor.handle_start_outcome(
             request.run_id, outcome, now=now, expires_at=self._driver.leased_until
         )
         self.apply(actions)
@@ -340,7 +342,7 @@
 
     def _note_preemption(self, action: PreemptRun) -> None:
         """Tell which run gives way; ``runs.preempted`` counts it once it has surely ended."""
-        life = self._supervisor.life
+        life = self._supervisor.incarnation
         self._metrics.count("preemption.lost-core-ms", round(1000 * action.lost_core_s))
         log_event(
             "run:preempted",
@@ -376,7 +378,7 @@
     async def _order_stop(self, run_id: RunId) -> None:
         is_answered = await self._driver.stop(run_id)
         if is_answered:
-            self.apply(self._supervisor.take_stop_answer(run_id, now=clock.monotonic()))
+            self.apply(self._supervisor.handle_stop_response(run_id, now=clock.monotonic()))
         if run_id not in self._supervisor.runs:
             self._stops.forget(run_id)
 
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -12,12 +12,12 @@
 from dalemast.core.supervision import (
     EndedRun,
     ListedRun,
-    LookPlan,
+    PollPlan,
     RunId,
     StartOutcome,
     StartRequest,
 )
-from dalemast.core.supervision.base import WorkerLife
+from dalemast.core.supervision.base import WorkerIncarnation
 from dalemast.core.workloads import JobRequest, Queue, QueueTable
 from dalemast.observability import Metrics
 
@@ -196,7 +196,7 @@
         """When everything on the worker has surely lapsed, by what was sent so far."""
 
     @abc.abstractmethod
-    def meet(self, life: WorkerLife) -> None:
+    def meet(self, life: WorkerIncarnation) -> None:
         """Address all further calls to this life."""
 
     @abc.abstractmethod
@@ -212,7 +212,7 @@
         """Order a stop; return whether it was answered."""
 
     @abc.abstractmethod
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def look(self, plan: PollPlan, *, limit: float) -> Look:
         """Ask what runs and what ended, and renew the lease if that is planned.
 
         ``limit`` is until when the worker may be told to run on, by the agent's steady clock.
@@ -224,13 +224,13 @@
 class WorkerObserver(Protocol):
     """What a registration tells."""
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerIncarnation) -> None:
         """A worker has reported."""
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """A worker has said that it ends."""
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """What was reported of a worker's life was another writer's, also that it ends."""
 
 
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -205,11 +205,11 @@
 
     def note_owner_lost(self, member: Member) -> None:
         """Note that the owner of claims kept here is out of reach: they lapse after a while."""
-        self._kept.note_lost(member.incarnation, now=clock.monotonic())
+        self._kept.note_unreachable(member.incarnation, now=clock.monotonic())
 
     def note_owner_back(self, member: Member) -> None:
         """Note that the owner of claims kept here is in reach."""
-        self._kept.note_back(member.incarnation)
+        self._kept.note_reachable(member.incarnation)
 
     def doubt_home(self, member: Member, *, is_planned: bool) -> None:
         """Note that an entry was lost and may keep claims unseen.
@@ -333,7 +333,7 @@
 
     def _take_told(self, session: PeerSession, member: Member, job_id: str) -> None:
         """Keep a peer's claim. If others have one too, the peer is asked to give its job up."""
-        is_news = self._kept.note_told(job_id, member.incarnation)
+        is_news = self._kept.record_reported(job_id, member.incarnation)
         held = self._kept.find_other(job_id, member.incarnation, now=clock.monotonic())
         if is_news and (held is not None or self._jobs.is_live(job_id)):
             session.link.send(Yield(job=job_id))
--- a/dalemast/fleet/entry/desk.py
+++ b/dalemast/fleet/entry/desk.py
@@ -212,7 +212,7 @@
         Its caller may be gone without a word, and nothing else would tell what the job waits for.
         """
         for job_id, job in self._open.items():
-            if job.is_overdue or now - job.arrived_at <= job.request.patience_s:
+            if job.is_overdue or now - job.arrived_at <= job.request.timeout_s:
                 continue
             job.is_overdue = True
             known = self._scheduler.open_jobs.get(job_id)
@@ -339,7 +339,7 @@
             refused_starts=action.refused_starts,
             preemptions=action.preemptions,
             tasks=sum(step.count for step in action.job.steps),
-            patience_s=round(action.job.patience_s, 3),
+            patience_s=round(action.job.timeout_s, 3),
             declared_s=round(action.job.chain_s, 3),
         )
         job.resolve(JobDone(state=JobState(action.state)))
--- a/dalemast/fleet/entry/news.py
+++ b/dalemast/fleet/entry/news.py
@@ -76,7 +76,7 @@
 
     def take_later(self, session: PeerSession) -> None:
         """Note that a peer gives the configuration to others first."""
-        self._missing.note_later(session.name, now=clock.monotonic())
+        self._missing.note_deferred(session.name, now=clock.monotonic())
 
     def take_configuration(self, session: PeerSession, news: ConfigurationNews) -> None:
         """Take in a configuration that a peer sent."""
@@ -96,7 +96,7 @@
         session = self._dialled.get(ask.peer)
         if session is None or session.is_relayed:
             # Its version came by the link that it has dialled; the own one is about to follow.
-            self._missing.note_later(ask.peer, now=now)
+            self._missing.note_deferred(ask.peer, now=now)
             return
         log_event("configuration:asked", peer=ask.peer, version=ask.version)
         session.link.send(ConfigurationAsk(version=ask.version))
--- a/dalemast/fleet/timing.py
+++ b/dalemast/fleet/timing.py
@@ -34,7 +34,7 @@
 class FleetTimes:
     """Times in seconds. ``stop_s`` is the platform's bound on a stop."""
 
-    owner_patience_s: float = 0.45
+    owner_timeout_s: float = 0.45
     """An agent stops the runs of an owner that is silent for this long: three beats and some."""
     lease_s: float = 0.6
     """A worker drops everything this long after the last word from its agent: two unanswered
@@ -57,7 +57,7 @@
     def lost_run_s(self) -> float:
         """Return how long after its owner's last word a run may still be going."""
         lease_s = self.lease_s * WORKER_CLOCK_STRETCH
-        return self.owner_patience_s + lease_s + self.stop_s + self.margin_s
+        return self.owner_timeout_s + lease_s + self.stop_s + self.margin_s
 
     @classmethod
     def fit(cls, *, resend_s: float, lease_max_s: float, stop_s: float) -> FleetTimes:
@@ -67,7 +67,7 @@
         budget_s = resend_s - stop_s - usual.margin_s - RESEND_SLACK_S
         share = min(1.0, budget_s / chain_s)
         return cls(
-            owner_patience_s=usual.owner_patience_s * share,
+            owner_timeout_s=usual.owner_timeout_s * share,
             lease_s=min(usual.lease_s * share, lease_max_s),
             silence_s=usual.silence_s * share,
             beat_s=usual.beat_s * share,
--- a/dalemast/platform/ingress.py
+++ b/dalemast/platform/ingress.py
@@ -133,7 +133,7 @@
             queue=queue,
             payload=body.payload,
             steps=tuple(_make_step(step, number) for number, step in enumerate(body.steps)),
-            patience_s=self._get_patience_s(),
+            timeout_s=self._get_patience_s(),
         )
 
     def _get_patience_s(self) -> float:
--- a/dalemast/platform/registration.py
+++ b/dalemast/platform/registration.py
@@ -9,7 +9,7 @@
 from tornado.web import Application, RequestHandler
 
 from dalemast import clock
-from dalemast.core.supervision import WorkerLife
+from dalemast.core.supervision import WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.fleet.base import BaseRegistration, WorkerObserver
 from dalemast.http.server import bind_address, log_nothing
@@ -123,14 +123,14 @@
             return
         if self._lines.is_replaced(life.id):
             # What was said under this id before was another writer's, a goodbye among it.
-            self._observer.restore_life(life.id)
-        self._observer.meet_life(life)
+            self._observer.restore_incarnation(life.id)
+        self._observer.register_incarnation(life)
 
     def take_end(self, worker_id: str) -> None:
         """Pass on that a worker ends which has said that it leaves; or :class:`ForeignInput`."""
         life_id = self._lines.find_leaving(worker_id)
         self._lines.note_end(life_id)
-        self._observer.lose_life(life_id)
+        self._observer.lose_incarnation(life_id)
 
     def note_foreign(self, life_id: str, refusal: ForeignInput, *, sender: str) -> None:
         """Count and log what was not taken. ``sender`` is the IP number that it came from."""
@@ -139,8 +139,8 @@
         )
 
 
-def _make_life(life_id: str, beat: Heartbeat) -> WorkerLife:
-    return WorkerLife(
+def _make_life(life_id: str, beat: Heartbeat) -> WorkerIncarnation:
+    return WorkerIncarnation(
         id=life_id,
         service=beat.service,
         data_centre=beat.zone,
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -14,12 +14,12 @@
 from dalemast.core.supervision import (
     EndedRun,
     ListedRun,
-    LookPlan,
+    PollPlan,
     RunId,
     StartOutcome,
     StartRequest,
+    WorkerIncarnation,
     WorkerLease,
-    WorkerLife,
 )
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.base import BaseWorkerDriver, Look, WorkerGone, WorkerReplaced, WorkerUnanswered
@@ -106,7 +106,7 @@
         """When everything on the worker has surely lapsed, by what was sent so far."""
         return self._lease.ends_at + self._lease_s * (WORKER_CLOCK_STRETCH - 1.0)
 
-    def meet(self, life: WorkerLife) -> None:
+    def meet(self, life: WorkerIncarnation) -> None:
         """Address all further calls to this life."""
         worker_id, _ = read_life_id(life.id)
         if self._life_id:
@@ -182,7 +182,7 @@
         self._was_stop_unanswered = False
         return response.status == 200
 
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def look(self, plan: PollPlan, *, limit: float) -> Look:
         """Ask what runs and what ended."""
         asked_at = clock.monotonic()
         headers = self._headers
--- a/tests/core/catch_up/test_missing.py
+++ b/tests/core/catch_up/test_missing.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dalemast.core.catch_up import Ask, CopyLimit, MissingVersion, get_copy_s
+from dalemast.core.catch_up import CopyLimit, MissingVersion, VersionRequest, get_copy_s
 
 SIZE = 400_000
 """Bytes of a version; its copy is given up after more than a second."""
 
 
-def ask_until(missing: MissingVersion, *, end: float) -> list[tuple[float, Ask]]:
+def ask_until(missing: MissingVersion, *, end: float) -> list[tuple[float, VersionRequest]]:
     """Ask for what is due every 50 ms; return the asks with their times."""
     asks = []
     for number in range(round(end / 0.05)):
@@ -35,7 +35,7 @@
     def test_a_process_without_any_version_asks_soon(self) -> None:
         missing = MissingVersion()
         missing.note_peer("b", 2, SIZE, now=0.0)
-        self.assertEqual(Ask(peer="b", version=2), missing.take_due(now=0.1, draw=0.0))
+        self.assertEqual(VersionRequest(peer="b", version=2), missing.take_due(now=0.1, draw=0.0))
 
     def test_one_peer_is_asked_at_a_time_and_the_next_if_it_is_silent(self) -> None:
         missing = MissingVersion()
@@ -67,7 +67,7 @@
         missing.note_own(1)
         missing.note_peer("b", 2, SIZE, now=0.0)
         self.assertIsNotNone(missing.take_due(now=0.5, draw=0.0))
-        missing.note_later("b", now=0.5)
+        missing.note_deferred("b", now=0.5)
         self.assertIsNotNone(missing.take_due(now=0.65, draw=0.0))
 
 
@@ -102,7 +102,7 @@
                 if parts[holder][1].take(str(number), now=now, copy_s=get_copy_s(SIZE)):
                     under_way.append((now + 0.3, holder, number))
                 else:
-                    missing.note_later(ask.peer, now=now)
+                    missing.note_deferred(ask.peer, now=now)
         return copies
 
     def _tell(
--- a/tests/core/ownership/test_claims.py
+++ b/tests/core/ownership/test_claims.py
@@ -33,7 +33,7 @@
 
     def test_the_claim_of_a_lost_owner_lapses_when_its_runs_have_ended(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
-        self.claims.note_lost("o1", now=1.0)
+        self.claims.note_unreachable("o1", now=1.0)
         self.assertEqual(
             Held(owner="o1", free_at=1.0 + LAPSE_S), self.claims.claim("a", "o2", now=1.1)
         )
@@ -41,22 +41,22 @@
 
     def test_an_owner_that_is_back_keeps_its_claim(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
-        self.claims.note_lost("o1", now=1.0)
-        self.claims.note_back("o1")
+        self.claims.note_unreachable("o1", now=1.0)
+        self.claims.note_reachable("o1")
         self.claims.sweep(now=9.0)
         self.assertIsInstance(self.claims.claim("a", "o2", now=9.0), Held)
 
     def test_claims_of_owners_that_are_gone_are_forgotten(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
-        self.claims.note_lost("o1", now=1.0)
+        self.claims.note_unreachable("o1", now=1.0)
         self.claims.sweep(now=3.0)
         self.assertEqual(0, len(self.claims))
 
     def test_an_id_that_two_owners_have_is_free_once_both_released_it(self) -> None:
         """One was granted it here, and the other tells that it has it by another entry's grant."""
         self.claims.claim("a", "o1", now=0.0)
-        self.assertTrue(self.claims.note_told("a", "o2"))
-        self.assertFalse(self.claims.note_told("a", "o2"))
+        self.assertTrue(self.claims.record_reported("a", "o2"))
+        self.assertFalse(self.claims.record_reported("a", "o2"))
         self.assertEqual(Held(owner="o2", free_at=None), self.claims.claim("a", "o1", now=0.0))
         self.claims.release("a", "o1")
         self.assertEqual(Held(owner="o2", free_at=None), self.claims.claim("a", "o3", now=0.0))
@@ -65,8 +65,8 @@
 
     def test_of_two_owners_the_one_that_lapses_last_is_named(self) -> None:
         for owner, lost_at in (("o1", 1.0), ("o2", 2.0)):
-            self.claims.note_told("a", owner)
-            self.claims.note_lost(owner, now=lost_at)
+            self.claims.record_reported("a", owner)
+            self.claims.note_unreachable(owner, now=lost_at)
         self.assertEqual(
             Held(owner="o2", free_at=2.0 + LAPSE_S), self.claims.claim("a", "o3", now=2.1)
         )
--- a/tests/core/ownership/test_neighbours.py
+++ b/tests/core/ownership/test_link_selection.py
@@ -8,13 +8,13 @@
 
 from dalemast.core.ownership import KnownEntry, LinkBounds, choose_owners
 
-BOUNDS = LinkBounds(near=12, far=4)
+BOUNDS = LinkBounds(same_data_centre=12, other_data_centres=4)
 MOST = BOUNDS.total
 
 
 def make_entries(*, near: int, far: int) -> list[KnownEntry]:
-    return [KnownEntry(name=f"near-{n}", is_near=True) for n in range(near)] + [
-        KnownEntry(name=f"far-{n}", is_near=False) for n in range(far)
+    return [KnownEntry(name=f"near-{n}", is_same_data_centre=True) for n in range(near)] + [
+        KnownEntry(name=f"far-{n}", is_same_data_centre=False) for n in range(far)
     ]
 
 
@@ -28,7 +28,7 @@
     def test_a_large_system_is_bounded_and_mostly_near(self) -> None:
         chosen = choose_owners("agent", make_entries(near=20, far=40), bounds=BOUNDS)
         self.assertEqual(MOST, len(chosen))
-        self.assertEqual(BOUNDS.near, sum(name.startswith("near") for name in chosen))
+        self.assertEqual(BOUNDS.same_data_centre, sum(name.startswith("near") for name in chosen))
 
     def test_few_near_entries_are_made_up_for_from_elsewhere(self) -> None:
         chosen = choose_owners("agent", make_entries(near=2, far=40), bounds=BOUNDS)
@@ -46,7 +46,7 @@
             name for n in range(400) for name in choose_owners(f"agent-{n}", entries, bounds=BOUNDS)
         )
         near = [counts[f"near-{n}"] for n in range(24)]
-        self.assertGreater(min(near), 0.7 * 400 * BOUNDS.near / 24)
+        self.assertGreater(min(near), 0.7 * 400 * BOUNDS.same_data_centre / 24)
 
     def test_a_lost_entry_changes_one_link_at_most(self) -> None:
         entries = make_entries(near=24, far=48)
--- a/tests/core/scheduling/base.py
+++ b/tests/core/scheduling/base.py
@@ -42,7 +42,7 @@
         queue=queue or make_queue(),
         payload="text",
         steps=steps or (make_step(),),
-        patience_s=1.5,
+        timeout_s=1.5,
     )
 
 
--- a/tests/core/scheduling/test_speeds.py
+++ b/tests/core/scheduling/test_speeds.py
@@ -350,7 +350,7 @@
         run_s = self.RUN_S * tail * spread / self.speeds[start.worker]
         record = self.records[start.worker]
         record.learn(start.job.id, run_s=run_s, expected_s=start.expected_s)
-        word = record.take_news(now=now)
+        word = record.take_report(now=now)
         if word is not None:
             for hearer in self.owners:
                 hearer.note_speed(start.worker, word)
--- a/tests/core/supervision/test_coming.py
+++ b/tests/core/supervision/test_capacity_releases.py
@@ -22,14 +22,16 @@
 class ComingRoomTests(SupervisorTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.supervisor.meet_life(make_life(cpu=16000), now=0.0)
+        self.supervisor.register_incarnation(make_life(cpu=16000), now=0.0)
         self.began: dict[int, float] = {}
 
     def begin(self, position: int, now: float, *, expected_s: float = LONG_S) -> None:
         """Let a task begin that takes one core."""
         request = replace(make_start("long", position=position), expected_s=expected_s)
         self.start(request, now=now)
-        self.supervisor.take_outcome(get_id(position), StartOutcome.RUNNING, now=now, expires_at=99)
+        self.supervisor.handle_start_outcome(
+            get_id(position), StartOutcome.RUNNING, now=now, expires_at=99
+        )
         self.began[position] = now
 
     def play(self, now: float) -> None:
@@ -38,11 +40,11 @@
             ListedRun(get_id(position), int(100 * (now - began) / LONG_S))
             for position, began in self.began.items()
         ]
-        self.supervisor.hear("o1", said_at=now)
-        self.look(*rows, now=now)
+        self.supervisor.renew_owner("o1", sent_at=now)
+        self.poll(*rows, now=now)
 
     def get(self, now: float) -> list[tuple[float, int]]:
-        return [(row.in_s, row.cpu) for row in self.supervisor.get_coming(now=now)]
+        return [(row.in_s, row.cpu) for row in self.supervisor.get_releases(now=now)]
 
     def test_an_idle_worker_has_nothing_to_free(self) -> None:
         self.assertEqual([], self.get(1.0))
@@ -92,7 +94,9 @@
     def test_a_worker_that_leaves_or_takes_nothing_has_none(self) -> None:
         self.begin(0, 1.0)
         self.assertEqual(1, len(self.get(1.1)))
-        self.supervisor.meet_life(replace(make_life(cpu=16000), is_leaving=True), now=1.1)
+        self.supervisor.register_incarnation(
+            replace(make_life(cpu=16000), is_leaving=True), now=1.1
+        )
         self.assertEqual([], self.get(1.1))
 
     def test_an_agent_that_drains_has_none(self) -> None:
@@ -102,5 +106,5 @@
 
     def test_what_has_ended_comes_no_more(self) -> None:
         self.begin(0, 1.0)
-        self.look(ended=(EndedRun(1, get_id(0), EndReason.DONE),), now=1.2)
+        self.poll(ended=(EndedRun(1, get_id(0), EndReason.DONE),), now=1.2)
         self.assertEqual([], self.get(1.2))
--- a/tests/core/supervision/test_free.py
+++ b/tests/core/supervision/test_free.py
@@ -14,7 +14,7 @@
     StartRequest,
     Supervisor,
     SupervisorLimits,
-    WorkerLife,
+    WorkerIncarnation,
 )
 from dalemast.core.workloads import Resources, TaskKey
 
@@ -25,8 +25,8 @@
 )
 
 
-def make_life(number: int) -> WorkerLife:
-    return WorkerLife(
+def make_life(number: int) -> WorkerIncarnation:
+    return WorkerIncarnation(
         id=f"life-{number}",
         service="floor",
         data_centre="austin",
@@ -39,11 +39,11 @@
 class FreeRoomTests(testtools.TestCase):
     @given(steps)
     def test_free_room_is_the_capacity_less_what_runs(self, plan: list[tuple[str, int]]) -> None:
-        limits = SupervisorLimits(owner_patience_s=1e6, lease_s=0.6, stop_s=0.05)
+        limits = SupervisorLimits(owner_timeout_s=1e6, lease_s=0.6, stop_s=0.05)
         supervisor = Supervisor(limits=limits)
         lives = ends = 0
-        supervisor.meet_life(make_life(lives), now=0.0)
-        supervisor.look((), (), asked_at=0.0, now=0.0)
+        supervisor.register_incarnation(make_life(lives), now=0.0)
+        supervisor.handle_poll((), (), asked_at=0.0, now=0.0)
         for now, (kind, number) in enumerate(plan):
             run_id = RunId(f"job-{number}", TaskKey(0, 0), 1)
             if kind == "start":
@@ -54,22 +54,22 @@
                     resources=Resources(cpu=1000 * number, memory_mb=10 * number, gpu=number % 2),
                     expected_s=1.0,
                     number=now,
-                    said_at=float(now),
+                    sent_at=float(now),
                 )
                 supervisor.start(request, now=float(now))
             elif kind == "end":
                 ends += 1
                 end = EndedRun(ends, run_id, EndReason.DONE)
-                supervisor.look((), (end,), asked_at=float(now), now=float(now))
+                supervisor.handle_poll((), (end,), asked_at=float(now), now=float(now))
             elif kind == "reject":
-                supervisor.take_outcome(
+                supervisor.handle_start_outcome(
                     run_id, StartOutcome.REJECTED, now=float(now), expires_at=now + 1.0
                 )
             else:
                 lives += 1
-                supervisor.lose_life(is_over=True)
-                supervisor.meet_life(make_life(lives), now=float(now))
-                supervisor.look((), (), asked_at=float(now), now=float(now))
+                supervisor.lose_incarnation(is_over=True)
+                supervisor.register_incarnation(make_life(lives), now=float(now))
+                supervisor.handle_poll((), (), asked_at=float(now), now=float(now))
             used = Resources()
             for run in supervisor.runs.values():
                 used += run.request.resources
--- a/tests/core/supervision/test_lives.py
+++ b/tests/core/supervision/test_incarnations.py
@@ -8,15 +8,15 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from dalemast.core.supervision.base import WorkerLife
-from dalemast.core.supervision.lives import MAX_OVER, WorkerLives
+from dalemast.core.supervision.base import WorkerIncarnation
+from dalemast.core.supervision.incarnations import MAX_OVER, WorkerIncarnations
 from dalemast.core.workloads import Resources
 
 LIVES = 4
 
 
-def make_life(number: int) -> WorkerLife:
-    return WorkerLife(
+def make_life(number: int) -> WorkerIncarnation:
+    return WorkerIncarnation(
         id=f"i-{number}",
         service="floor",
         data_centre="austin",
@@ -30,7 +30,7 @@
     """A worker whose lives follow one another, with an agent that calls it and hears reports."""
 
     def __init__(self) -> None:
-        self.lives = WorkerLives()
+        self.lives = WorkerIncarnations()
         self.number = 1
         self._clock = itertools.count(1)
 
@@ -95,7 +95,7 @@
 class BoundTests(TestCase):
     def test_lives_without_end_are_not_all_remembered(self) -> None:
         """Another writer may report under a new id each time, and end it again."""
-        lives = WorkerLives()
+        lives = WorkerIncarnations()
         for number in range(3 * MAX_OVER):
             lives.bar(f"i-{number}")
         self.assertEqual(MAX_OVER, len(lives._over))
--- a/tests/core/supervision/test_keeping.py
+++ b/tests/core/supervision/test_keeping.py
@@ -33,14 +33,14 @@
         self.supervisor.stop(self.request.run_id, owner="o1", now=1.0)
 
     def test_it_is_not_over_while_a_try_may_be_under_way(self) -> None:
-        self.assertEqual([], pick(self.look(now=1.3), ReportEnd))
+        self.assertEqual([], pick(self.poll(now=1.3), ReportEnd))
 
     def test_without_an_answer_it_is_over_once_it_can_not_begin_any_more(self) -> None:
-        self.supervisor.take_outcome(
+        self.supervisor.handle_start_outcome(
             self.request.run_id, StartOutcome.UNANSWERED, now=1.3, expires_at=1.6
         )
-        self.assertEqual([], pick(self.look(now=1.5), ReportEnd))
-        (report,) = pick(self.look(now=1.7), ReportEnd)
+        self.assertEqual([], pick(self.poll(now=1.5), ReportEnd))
+        (report,) = pick(self.poll(now=1.7), ReportEnd)
         self.assertIs(EndReason.STOPPED, report.reason)
 
 
@@ -52,7 +52,7 @@
 
     def test_an_owner_that_is_heard_keeps_its_runs(self) -> None:
         self.run_task(make_start())
-        self.supervisor.hear("o1", said_at=1.4)
+        self.supervisor.renew_owner("o1", sent_at=1.4)
         self.assertEqual([], self.supervisor.tick(now=1.6))
 
     def test_a_stop_without_effect_is_said_again(self) -> None:
@@ -64,28 +64,28 @@
     def test_a_start_that_was_said_too_long_ago_is_not_taken(self) -> None:
         """Its owner may have given the agent up since, and counts from then on."""
         late = make_start()
-        (report, _) = self.supervisor.start(late, now=late.said_at + PATIENCE_S + 0.01)
+        (report, _) = self.supervisor.start(late, now=late.sent_at + PATIENCE_S + 0.01)
         self.assertIs(EndReason.NOT_TAKEN, report.reason)
 
     def test_the_lease_follows_the_owner_that_is_silent_for_longest(self) -> None:
         self.run_task(make_start("a"))
         other = replace(make_start("b"), owner="o2")
         self.supervisor.start(other, now=1.0)
-        self.supervisor.hear("o2", said_at=1.4)
+        self.supervisor.renew_owner("o2", sent_at=1.4)
         self.assertEqual(1.0 + PATIENCE_S + LEASE_S, self.supervisor.get_lease_limit())
 
     def test_a_run_that_is_told_to_stop_is_kept_alive_no_longer(self) -> None:
         """Nor is the lease, for its sake: each stop may get lost, and it must end all the same."""
         run_id = self.run_task(make_start())
         self.supervisor.stop(run_id, owner="o1", now=1.0)
-        self.supervisor.hear("o1", said_at=1.4)
+        self.supervisor.renew_owner("o1", sent_at=1.4)
         self.assertEqual(1.0 + PATIENCE_S + LEASE_S, self.supervisor.get_lease_limit())
-        self.look(ended=(EndedRun(1, run_id, EndReason.STOPPED),), now=1.5)
+        self.poll(ended=(EndedRun(1, run_id, EndReason.STOPPED),), now=1.5)
         self.assertEqual(float("inf"), self.supervisor.get_lease_limit())
 
     def test_a_run_that_nobody_here_knows_keeps_the_lease_from_being_renewed(self) -> None:
         """Its owner may count it as over: it began late, or in an earlier life of the agent."""
-        self.look(ListedRun(RunId("z", TaskKey(0, 0), 1), 5.0), now=1.1)
+        self.poll(ListedRun(RunId("z", TaskKey(0, 0), 1), 5.0), now=1.1)
         self.assertEqual(float("-inf"), self.supervisor.get_lease_limit())
 
     def test_a_worker_whose_lease_can_not_be_renewed_takes_no_starts(self) -> None:
@@ -114,5 +114,5 @@
         self.supervisor.stop(run_id, owner="o1", now=1.0)
         for number in range(8):
             now = 1.1 + 0.1 * number
-            self.look(ListedRun(run_id, 2.0 + number), now=now)
+            self.poll(ListedRun(run_id, 2.0 + number), now=now)
         self.assertEqual([run_id], self.supervisor.get_unstopped(now=now, older_than_s=0.15))
--- a/tests/core/supervision/test_looks.py
+++ b/tests/core/supervision/test_polls.py
@@ -4,13 +4,13 @@
 
 import testtools
 
-from dalemast.core.supervision import LookSchedule
-from dalemast.core.supervision.looks import (
-    LONGEST_LOOK_PAUSE_S,
-    LOOK_WAIT_S,
+from dalemast.core.supervision import PollSchedule
+from dalemast.core.supervision.polls import (
     LOSSY_S,
     LOSSY_SLACK_S,
     LOSSY_WAIT_S,
+    MAX_POLL_PAUSE_S,
+    POLL_WAIT_S,
 )
 
 LOST_EVERY = 25
@@ -20,7 +20,7 @@
 PROBE_S = 0.002
 
 
-def replay(schedule: LookSchedule, *, learns: bool) -> float:
+def replay(schedule: PollSchedule, *, learns: bool) -> float:
     """Lose one answer in 25 for 20 s of full load; return how late ends were seen in the mean."""
     now = 0.0
     seen = 0
@@ -33,7 +33,7 @@
             ended = int(now / END_EVERY_S + 1e-9)
             delays += [now - end * END_EVERY_S for end in range(seen + 1, ended + 1)]
             seen = ended
-            schedule.note_answer(now=now) if learns else schedule.begin_life()
+            schedule.note_answer(now=now) if learns else schedule.begin_incarnation()
         else:
             now += plan.wait_s + plan.slack_s
             schedule.note_unanswered()
@@ -45,23 +45,23 @@
 class LookScheduleTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.schedule = LookSchedule()
+        self.schedule = PollSchedule()
 
     def get_wait_s(self, now: float) -> float:
         return self.schedule.plan(has_runs=True, now=now).wait_s
 
     def test_ends_are_seen_sooner_while_answers_get_lost(self) -> None:
-        before_s = replay(LookSchedule(), learns=False)
-        self.assertLess(replay(LookSchedule(), learns=True), 0.5 * before_s)
+        before_s = replay(PollSchedule(), learns=False)
+        self.assertLess(replay(PollSchedule(), learns=True), 0.5 * before_s)
 
     def test_one_lost_answer_among_others_shows_no_silence(self) -> None:
         self.schedule.note_unanswered()
-        self.assertTrue(self.schedule.shows_silence(now=1.0))
+        self.assertTrue(self.schedule.is_newly_unresponsive(now=1.0))
         self.schedule.note_answer(now=1.0)
         self.schedule.note_unanswered()
-        self.assertFalse(self.schedule.shows_silence(now=1.5))
+        self.assertFalse(self.schedule.is_newly_unresponsive(now=1.5))
         self.schedule.note_unanswered()
-        self.assertTrue(self.schedule.shows_silence(now=1.6))
+        self.assertTrue(self.schedule.is_newly_unresponsive(now=1.6))
 
     def test_a_look_that_is_lost_among_others_is_noticed_soon(self) -> None:
         self.schedule.note_unanswered()
@@ -73,13 +73,13 @@
     def test_looks_wait_long_again_once_no_answer_is_lost(self) -> None:
         self.schedule.note_unanswered()
         self.schedule.note_answer(now=1.0)
-        self.assertEqual(LOOK_WAIT_S, self.get_wait_s(now=1.0 + LOSSY_S))
+        self.assertEqual(POLL_WAIT_S, self.get_wait_s(now=1.0 + LOSSY_S))
 
     def test_a_worker_that_was_silent_for_longer_is_not_taken_for_a_lossy_one(self) -> None:
         self.schedule.note_unanswered()
         self.schedule.note_unanswered()
         self.schedule.note_answer(now=1.0)
-        self.assertEqual(LOOK_WAIT_S, self.get_wait_s(now=1.0))
+        self.assertEqual(POLL_WAIT_S, self.get_wait_s(now=1.0))
 
     def test_a_silent_worker_is_asked_for_an_answer_at_once(self) -> None:
         self.schedule.note_unanswered()
@@ -92,7 +92,7 @@
             self.schedule.note_unanswered()
             pauses.append(self.schedule.get_pause_s(lease_left_s=9.0))
         self.assertEqual([0.0, 0.02, 0.04, 0.08, 0.16, 0.16, 0.16], pauses)
-        self.assertEqual(LONGEST_LOOK_PAUSE_S, max(pauses))
+        self.assertEqual(MAX_POLL_PAUSE_S, max(pauses))
 
     def test_the_last_pause_ends_with_the_lease(self) -> None:
         for _ in range(9):
--- a/tests/core/supervision/test_preemption.py
+++ b/tests/core/supervision/test_preemption.py
@@ -13,14 +13,14 @@
     ListedRun,
     OrderStart,
     PreemptRun,
+    ReportCapacity,
     ReportEnd,
-    ReportRoom,
     RunId,
     StartOutcome,
     StartRequest,
     Supervisor,
     SupervisorLimits,
-    WorkerLife,
+    WorkerIncarnation,
 )
 from dalemast.core.supervision.preemption import FRESH_S, HOLD_S, KEPT_SHARE, LONGEST_S
 from dalemast.core.workloads import Resources, TaskKey
@@ -47,15 +47,15 @@
 
     def setUp(self) -> None:
         super().setUp()
-        limits = SupervisorLimits(owner_patience_s=1e9, lease_s=0.6, stop_s=STOP_S)
+        limits = SupervisorLimits(owner_timeout_s=1e9, lease_s=0.6, stop_s=STOP_S)
         self.supervisor = Supervisor(limits=limits)
         self.runs: dict[RunId, float] = {}
         self.numbers = iter(range(1, 1000))
-        self.supervisor.meet_life(self.make_life(), now=0.0)
-        self.look(now=0.0)
+        self.supervisor.register_incarnation(self.make_life(), now=0.0)
+        self.poll(now=0.0)
 
-    def make_life(self, life_id: str = "i-1") -> WorkerLife:
-        return WorkerLife(
+    def make_life(self, life_id: str = "i-1") -> WorkerIncarnation:
+        return WorkerIncarnation(
             id=life_id,
             service="floor",
             data_centre="austin",
@@ -95,7 +95,7 @@
             resources=Resources(cpu=cpu, memory_mb=10),
             expected_s=run_s,
             number=next(self.numbers),
-            said_at=now,
+            sent_at=now,
             priority=priority,
             spare_s=spare_s,
         )
@@ -105,28 +105,30 @@
         """Start a task and see it run."""
         (order,) = pick(self.ask_start(job_id, now=now, **fields), OrderStart)
         run_id = order.request.run_id
-        self.supervisor.take_outcome(run_id, StartOutcome.RUNNING, now=now, expires_at=now + 1)
+        self.supervisor.handle_start_outcome(
+            run_id, StartOutcome.RUNNING, now=now, expires_at=now + 1
+        )
         self.runs[run_id] = now
-        self.look(now=now + 0.001)
+        self.poll(now=now + 0.001)
         return run_id
 
-    def look(self, *, now: float) -> None:
+    def poll(self, *, now: float) -> None:
         """Show what runs, each a little on its way."""
         rows = [ListedRun(run_id, 100 * (now - at) / LONG_S) for run_id, at in self.runs.items()]
-        self.supervisor.look(rows, (), asked_at=now, now=now)
+        self.supervisor.handle_poll(rows, (), asked_at=now, now=now)
 
     def end(self, run_id: RunId, reason: EndReason, *, now: float) -> list[Action]:
         """Let the worker show that a run has ended."""
         del self.runs[run_id]
         rows = [ListedRun(other, 1.0) for other in self.runs]
         ended = [EndedRun(next(self.numbers), run_id, reason)]
-        return self.supervisor.look(rows, ended, asked_at=now, now=now)
+        return self.supervisor.handle_poll(rows, ended, asked_at=now, now=now)
 
     def preempt(
         self, wish: Want | None = None, *, owner: str = "o2", now: float = 10.1
     ) -> list[PreemptRun]:
         wish = wish or want()
-        return pick(self.supervisor.preempt(owner, wish, said_at=now, now=now), PreemptRun)
+        return pick(self.supervisor.preempt(owner, wish, sent_at=now, now=now), PreemptRun)
 
 
 class VictimTests(PreemptionTestCase):
@@ -189,7 +191,7 @@
 
     def test_a_run_that_is_half_done_goes_on(self) -> None:
         self.fill(spare_s=5.0)
-        self.look(now=10.95)
+        self.poll(now=10.95)
         self.assertEqual([], self.preempt(now=10.95))
 
     def test_a_run_that_ends_about_as_soon_as_it_could_be_stopped_goes_on(self) -> None:
@@ -209,8 +211,8 @@
     def test_an_old_wish_stops_nothing(self) -> None:
         """It was held up on its way, or its owner stands still."""
         self.fill()
-        for said_at in (10.1 - FRESH_S - 0.01, -inf, nan):
-            self.assertEqual([], self.supervisor.preempt("o2", want(), said_at=said_at, now=10.1))
+        for sent_at in (10.1 - FRESH_S - 0.01, -inf, nan):
+            self.assertEqual([], self.supervisor.preempt("o2", want(), sent_at=sent_at, now=10.1))
 
     def test_a_run_that_no_look_has_shown_yet_goes_on(self) -> None:
         self.fill()
@@ -282,9 +284,9 @@
         self.assertEqual([EndReason.DONE], ends)
 
     def test_a_worker_that_is_gone_ends_all_takeovers(self) -> None:
-        ends = self.get_ends(self.supervisor.lose_life(is_over=True))
+        ends = self.get_ends(self.supervisor.lose_incarnation(is_over=True))
         self.assertEqual([EndReason.CRASHED] * len(self.runs), ends)
-        self.assertEqual(0, len(self.supervisor.takeovers))
+        self.assertEqual(0, len(self.supervisor.reservations))
 
     def test_the_freed_room_is_kept_for_whom_it_was_made(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
@@ -293,7 +295,7 @@
         refused = self.ask_start("quick", owner="o1", now=10.13)
         self.assertEqual([EndReason.NO_ROOM], self.get_ends(refused))
         self.start("urgent", owner="o2", priority=URGENT, now=10.13)
-        self.assertEqual(0, len(self.supervisor.takeovers))
+        self.assertEqual(0, len(self.supervisor.reservations))
 
     def test_as_urgent_work_of_another_owner_may_use_it(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
@@ -302,25 +304,25 @@
     def test_room_that_is_not_used_is_given_back(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         told = self.supervisor.tick(now=10.12 + HOLD_S + 0.001)
-        self.assertEqual(1, len(pick(told, ReportRoom)))
+        self.assertEqual(1, len(pick(told, ReportCapacity)))
         self.start("next", owner="o1", now=10.2)
 
     def test_room_that_is_not_wanted_any_more_is_given_back_at_once(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
-        self.assertEqual(1, len(self.supervisor.withdraw("o2")))
-        self.assertEqual([], self.supervisor.withdraw("o2"))
+        self.assertEqual(1, len(self.supervisor.withdraw_request("o2")))
+        self.assertEqual([], self.supervisor.withdraw_request("o2"))
         self.start("next", owner="o1", now=10.13)
 
     def test_an_owner_that_changes_its_mind_has_no_second_run_stopped(self) -> None:
-        self.supervisor.withdraw("o2")
+        self.supervisor.withdraw_request("o2")
         self.assertEqual([], self.preempt(now=10.11))
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         self.assertEqual(1600, self.supervisor.get_free_for("o1").cpu)
-        self.assertEqual(0, len(self.supervisor.takeovers))
+        self.assertEqual(0, len(self.supervisor.reservations))
 
     def test_a_stop_that_gets_lost_keeps_its_owner_from_asking_for_a_while_only(self) -> None:
-        self.look(now=10.9)
+        self.poll(now=10.9)
         self.assertEqual([], self.preempt(now=10.9))
         self.supervisor.tick(now=10.1 + LONGEST_S + 0.01)
         self.assertIn(self.victim, self.supervisor.runs, "it has not ended")
-        self.assertEqual(0, len(self.supervisor.takeovers))
+        self.assertEqual(0, len(self.supervisor.reservations))
--- a/tests/core/supervision/test_speeds.py
+++ b/tests/core/supervision/test_speeds.py
@@ -82,20 +82,20 @@
         self.assertLess(len(self.record._jobs["wide"]), 100)
 
     def test_it_is_news_once_and_when_it_changes(self) -> None:
-        self.assertIsNone(self.record.take_news(now=0.0))
+        self.assertIsNone(self.record.take_report(now=0.0))
         learn(self.record, 1.0, jobs=FIRST_JOBS)
-        self.assertEqual(1.0, self.record.take_news(now=0.0).slowness)
+        self.assertEqual(1.0, self.record.take_report(now=0.0).slowness)
         learn(self.record, 1.05, jobs=MOST_JOBS, name="alike")
-        self.assertIsNone(self.record.take_news(now=10.0))
+        self.assertIsNone(self.record.take_report(now=10.0))
         learn(self.record, 1.67, jobs=MOST_JOBS, name="slow")
-        self.assertAlmostEqual(1.67, self.record.take_news(now=10.0).slowness)
-        self.assertAlmostEqual(1.67, self.record.told.slowness)
+        self.assertAlmostEqual(1.67, self.record.take_report(now=10.0).slowness)
+        self.assertAlmostEqual(1.67, self.record.reported.slowness)
 
     def test_words_are_bounded_however_the_runs_vary(self) -> None:
         words = 0
         for number in range(100):
             learn(self.record, 1.0 + number % 2, jobs=MOST_JOBS, name=f"{number}.")
-            words += self.record.take_news(now=number * TELLING_PAUSE_S / 10) is not None
+            words += self.record.take_report(now=number * TELLING_PAUSE_S / 10) is not None
         self.assertLessEqual(words, 10)
 
 
@@ -106,11 +106,11 @@
         for number in range(count):
             request = make_start(f"{number:x}")
             self.supervisor.start(request, now=1.0)
-            self.supervisor.take_outcome(
+            self.supervisor.handle_start_outcome(
                 request.run_id, StartOutcome.RUNNING, now=1.0, expires_at=9.0
             )
             ended = EndedRun(number + 1, request.run_id, EndReason.DONE)
-            self.supervisor.look((), (ended,), asked_at=1.0, now=1.0 + run_s)
+            self.supervisor.handle_poll((), (ended,), asked_at=1.0, now=1.0 + run_s)
 
     def test_runs_that_end_well_tell_the_speed(self) -> None:
         self.end_runs(FIRST_JOBS)
@@ -118,14 +118,14 @@
 
     def test_a_life_that_was_out_of_reach_is_still_known(self) -> None:
         self.end_runs(FIRST_JOBS)
-        self.supervisor.lose_life(is_over=False)
-        self.supervisor.meet_life(make_life(), now=2.0)
+        self.supervisor.lose_incarnation(is_over=False)
+        self.supervisor.register_incarnation(make_life(), now=2.0)
         self.assertAlmostEqual(2.0, self.supervisor.speeds.get_speed().slowness)
 
     def test_a_new_life_begins_anew(self) -> None:
         self.end_runs(FIRST_JOBS)
-        self.supervisor.lose_life(is_over=True)
-        self.supervisor.meet_life(make_life("i-2"), now=2.0)
+        self.supervisor.lose_incarnation(is_over=True)
+        self.supervisor.register_incarnation(make_life("i-2"), now=2.0)
         self.assertIsNone(self.supervisor.speeds.get_speed())
 
     def test_an_agent_that_restarts_learns_it_again_by_as_many_jobs_as_at_first(self) -> None:
@@ -137,5 +137,5 @@
 
     def restart_agent(self) -> None:
         self.supervisor = type(self.supervisor)(limits=self.supervisor._limits)
-        self.supervisor.meet_life(make_life(), now=0.0)
-        self.look(now=0.0)
+        self.supervisor.register_incarnation(make_life(), now=0.0)
+        self.poll(now=0.0)
--- a/tests/core/supervision/test_supervisor.py
+++ b/tests/core/supervision/test_supervisor.py
@@ -15,8 +15,8 @@
     ListedRun,
     OrderStart,
     OrderStop,
+    ReportCapacity,
     ReportEnd,
-    ReportRoom,
     ReportSlow,
     RunId,
     StartOutcome,
@@ -24,7 +24,7 @@
     Supervisor,
     SupervisorLimits,
     WorkerHealth,
-    WorkerLife,
+    WorkerIncarnation,
     list_crashed,
 )
 from dalemast.core.supervision.runs import DECLARED_ERROR
@@ -36,8 +36,10 @@
 STOP_S = 0.05
 
 
-def make_life(life_id: str = "i-1", *, is_leaving: bool = False, cpu: int = 4000) -> WorkerLife:
-    return WorkerLife(
+def make_life(
+    life_id: str = "i-1", *, is_leaving: bool = False, cpu: int = 4000
+) -> WorkerIncarnation:
+    return WorkerIncarnation(
         id=life_id,
         service="floor",
         data_centre="austin",
@@ -55,7 +57,7 @@
         resources=Resources(cpu=cpu, memory_mb=10),
         expected_s=0.2,
         number=1,
-        said_at=1.0,
+        sent_at=1.0,
     )
 
 
@@ -71,12 +73,12 @@
 class SupervisorTestCase(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        limits = SupervisorLimits(owner_patience_s=PATIENCE_S, lease_s=LEASE_S, stop_s=STOP_S)
+        limits = SupervisorLimits(owner_timeout_s=PATIENCE_S, lease_s=LEASE_S, stop_s=STOP_S)
         self.supervisor = Supervisor(limits=limits)
-        self.supervisor.meet_life(make_life(), now=0.0)
-        self.look(now=0.0)
+        self.supervisor.register_incarnation(make_life(), now=0.0)
+        self.poll(now=0.0)
 
-    def look(
+    def poll(
         self,
         *running: ListedRun,
         ended: tuple[EndedRun, ...] = (),
@@ -84,23 +86,23 @@
         asked_at: float | None = None,
     ) -> list[Action]:
         asked_at = now if asked_at is None else asked_at
-        return self.supervisor.look(running, ended, asked_at=asked_at, now=now)
+        return self.supervisor.handle_poll(running, ended, asked_at=asked_at, now=now)
 
     def start(self, request: StartRequest, now: float = 1.0) -> list[Action]:
-        return self.supervisor.start(replace(request, said_at=now), now=now)
+        return self.supervisor.start(replace(request, sent_at=now), now=now)
 
     def run_task_after_look(self) -> RunId:
-        self.look(now=1.0)
+        self.poll(now=1.0)
         return self.run_task(make_start())
 
     def replace_life(self, life_id: str) -> list[Action]:
         """Let another life report, and the worker disown the one before."""
-        self.supervisor.meet_life(make_life(life_id), now=1.0)
-        return self.supervisor.lose_life(is_over=True)
+        self.supervisor.register_incarnation(make_life(life_id), now=1.0)
+        return self.supervisor.lose_incarnation(is_over=True)
 
     def run_task(self, request: StartRequest, now: float = 1.0) -> RunId:
         self.start(request, now=now)
-        self.supervisor.take_outcome(
+        self.supervisor.handle_start_outcome(
             request.run_id, StartOutcome.RUNNING, now=now, expires_at=now + 0.6
         )
         return request.run_id
@@ -116,7 +118,7 @@
         run_id = self.run_task(make_start(cpu=4000))
         self.supervisor.stop(run_id, owner="o1", now=1.0)
         self.assertEqual(0, self.supervisor.get_free().cpu)
-        self.look(ended=(EndedRun(1, run_id, EndReason.STOPPED),), now=1.1)
+        self.poll(ended=(EndedRun(1, run_id, EndReason.STOPPED),), now=1.1)
         self.assertEqual(4000, self.supervisor.get_free().cpu)
 
     def test_a_start_that_is_known_already_is_not_ordered_twice(self) -> None:
@@ -132,10 +134,10 @@
     def test_runs_of_an_earlier_agent_are_stopped_before_anything_starts(self) -> None:
         self.replace_life("i-2")
         stray = RunId("old", TaskKey(0, 0), 1)
-        (stop,) = pick(self.look(ListedRun(stray, 5.0), now=1.0), OrderStop)
+        (stop,) = pick(self.poll(ListedRun(stray, 5.0), now=1.0), OrderStop)
         self.assertEqual(stray, stop.run_id)
         self.assertFalse(self.supervisor.is_accepting(now=1.0))
-        self.look(ended=(EndedRun(1, stray, EndReason.STOPPED),), now=1.1)
+        self.poll(ended=(EndedRun(1, stray, EndReason.STOPPED),), now=1.1)
         self.assertTrue(self.supervisor.is_accepting(now=1.1))
 
 
@@ -143,7 +145,7 @@
     def order_unanswered(self) -> RunId:
         request = make_start(cpu=4000)
         self.start(request)
-        actions = self.supervisor.take_outcome(
+        actions = self.supervisor.handle_start_outcome(
             request.run_id, StartOutcome.UNANSWERED, now=1.3, expires_at=1.9
         )
         self.assertEqual([OrderStop(run_id=request.run_id)], pick(actions, OrderStop))
@@ -153,23 +155,23 @@
         self.order_unanswered()
         request = make_start("b", cpu=0)
         self.start(request)
-        self.supervisor.take_outcome(
+        self.supervisor.handle_start_outcome(
             request.run_id, StartOutcome.UNANSWERED, now=1.3, expires_at=1.9
         )
         self.assertFalse(self.supervisor.is_accepting(now=1.5))
 
     def test_its_room_stays_taken_until_it_can_no_longer_be_carried_out(self) -> None:
         self.order_unanswered()
-        self.assertEqual([], pick(self.look(now=1.85), ReportEnd))
+        self.assertEqual([], pick(self.poll(now=1.85), ReportEnd))
         self.assertEqual(0, self.supervisor.get_free().cpu)
-        (report,) = pick(self.look(now=1.95), ReportEnd)
+        (report,) = pick(self.poll(now=1.95), ReportEnd)
         self.assertIs(EndReason.STOPPED, report.reason)
         self.assertEqual(4000, self.supervisor.get_free().cpu)
 
     def test_an_answered_stop_bars_the_run_once_a_stop_has_taken_its_time(self) -> None:
         """The run may be going unlisted: a mute worker carries orders out and answers nothing."""
         run_id = self.order_unanswered()
-        self.assertEqual([], self.supervisor.take_stop_answer(run_id, now=1.4))
+        self.assertEqual([], self.supervisor.handle_stop_response(run_id, now=1.4))
         self.assertEqual([], pick(self.supervisor.tick(now=1.4 + STOP_S), ReportEnd))
         self.assertEqual(0, self.supervisor.get_free().cpu)
         late = 1.4 + STOP_S + STOP_MARGIN_S
@@ -178,24 +180,24 @@
 
     def test_a_run_that_was_listed_is_over_only_when_its_end_is(self) -> None:
         run_id = self.order_unanswered()
-        self.look(ListedRun(run_id, 3.0), now=1.4)
-        self.assertEqual([], self.supervisor.take_stop_answer(run_id, now=1.5))
+        self.poll(ListedRun(run_id, 3.0), now=1.4)
+        self.assertEqual([], self.supervisor.handle_stop_response(run_id, now=1.5))
         ended = (EndedRun(1, run_id, EndReason.STOPPED),)
-        self.assertEqual(1, len(pick(self.look(ended=ended, now=1.6), ReportEnd)))
+        self.assertEqual(1, len(pick(self.poll(ended=ended, now=1.6), ReportEnd)))
 
     def test_a_look_from_before_the_order_ended_says_nothing(self) -> None:
         self.order_unanswered()
-        self.assertEqual([], pick(self.look(now=1.95, asked_at=1.8), ReportEnd))
+        self.assertEqual([], pick(self.poll(now=1.95, asked_at=1.8), ReportEnd))
 
     def test_a_used_run_number_is_settled_by_the_next_look(self) -> None:
         request = make_start()
         self.start(request)
-        actions = self.supervisor.take_outcome(
+        actions = self.supervisor.handle_start_outcome(
             request.run_id, StartOutcome.RUN_USED, now=1.2, expires_at=1.9
         )
         self.assertEqual([], actions)
         ended = (EndedRun(1, request.run_id, EndReason.DONE),)
-        (report,) = pick(self.look(ended=ended, now=1.3), ReportEnd)
+        (report,) = pick(self.poll(ended=ended, now=1.3), ReportEnd)
         self.assertIs(EndReason.DONE, report.reason)
 
 
@@ -207,61 +209,61 @@
 
     def test_a_late_report_of_an_earlier_life_changes_nothing(self) -> None:
         self.replace_life("i-2")
-        self.look(now=1.0)
+        self.poll(now=1.0)
         run_id = self.run_task(make_start(cpu=3000))
-        self.assertEqual([], self.supervisor.meet_life(make_life("i-1"), now=1.2))
-        self.assertEqual("i-2", self.supervisor.life.id)
+        self.assertEqual([], self.supervisor.register_incarnation(make_life("i-1"), now=1.2))
+        self.assertEqual("i-2", self.supervisor.incarnation.id)
         self.assertIn(run_id, self.supervisor.runs)
         self.assertEqual(1000, self.supervisor.get_free().cpu)
 
     def test_a_late_report_of_a_life_never_met_changes_nothing(self) -> None:
         """An agent that has just started may hear of the earlier life second."""
         run_id = self.run_task(make_start(cpu=3000))
-        self.assertEqual([], self.supervisor.meet_life(make_life("i-0"), now=1.1))
+        self.assertEqual([], self.supervisor.register_incarnation(make_life("i-0"), now=1.1))
         self.assertTrue(self.supervisor.has_work)
         self.assertEqual(
-            [], pick(self.look(ListedRun(run_id, 10.0), now=1.3, asked_at=1.2), ReportEnd)
+            [], pick(self.poll(ListedRun(run_id, 10.0), now=1.3, asked_at=1.2), ReportEnd)
         )
-        self.assertEqual("i-1", self.supervisor.life.id)
-        self.supervisor.lose_life(is_over=False)
-        self.supervisor.meet_life(make_life("i-0"), now=1.4)
-        self.assertIsNone(self.supervisor.life)
+        self.assertEqual("i-1", self.supervisor.incarnation.id)
+        self.supervisor.lose_incarnation(is_over=False)
+        self.supervisor.register_incarnation(make_life("i-0"), now=1.4)
+        self.assertIsNone(self.supervisor.incarnation)
 
     def test_an_answer_asked_for_before_the_report_proves_nothing(self) -> None:
         run_id = self.run_task(make_start())
-        self.supervisor.meet_life(make_life("i-2"), now=1.2)
-        self.look(ListedRun(run_id, 10.0), now=1.3, asked_at=1.1)
-        self.supervisor.lose_life(is_over=True)
-        self.assertEqual("i-2", self.supervisor.life.id)
+        self.supervisor.register_incarnation(make_life("i-2"), now=1.2)
+        self.poll(ListedRun(run_id, 10.0), now=1.3, asked_at=1.1)
+        self.supervisor.lose_incarnation(is_over=True)
+        self.assertEqual("i-2", self.supervisor.incarnation.id)
 
     def test_a_life_that_deregistered_never_comes_back(self) -> None:
-        self.supervisor.end_life("i-1")
-        self.supervisor.lose_life(is_over=False)
-        self.supervisor.meet_life(make_life("i-1"), now=1.2)
-        self.assertIsNone(self.supervisor.life)
+        self.supervisor.end_incarnation("i-1")
+        self.supervisor.lose_incarnation(is_over=False)
+        self.supervisor.register_incarnation(make_life("i-1"), now=1.2)
+        self.assertIsNone(self.supervisor.incarnation)
 
     def test_a_life_that_deregistered_is_over_only_once_it_is_gone(self) -> None:
         """It may run on for seconds, and what runs there is placed again once it counts as over."""
         run_id = self.run_task(make_start())
-        self.assertEqual([], pick(self.supervisor.end_life("i-1"), ReportEnd))
-        self.supervisor.meet_life(make_life("i-1"), now=1.2)
-        self.look(ListedRun(run_id, 50.0), now=1.2)
+        self.assertEqual([], pick(self.supervisor.end_incarnation("i-1"), ReportEnd))
+        self.supervisor.register_incarnation(make_life("i-1"), now=1.2)
+        self.poll(ListedRun(run_id, 50.0), now=1.2)
         self.assertEqual(float("-inf"), self.supervisor.get_lease_limit())
         self.assertFalse(self.supervisor.is_accepting(now=1.2))
         self.assertTrue(self.supervisor.has_work)
-        (report,) = pick(self.supervisor.lose_life(is_over=False), ReportEnd)
+        (report,) = pick(self.supervisor.lose_incarnation(is_over=False), ReportEnd)
         self.assertEqual(run_id, report.run_id)
 
     def test_a_late_goodbye_of_an_earlier_life_ends_nothing(self) -> None:
         self.replace_life("i-2")
         run_id = self.run_task_after_look()
-        self.assertEqual([], self.supervisor.end_life("i-1"))
+        self.assertEqual([], self.supervisor.end_incarnation("i-1"))
         self.assertIn(run_id, self.supervisor.runs)
 
     def lose_worker(self, **how: bool) -> EndReason:
         """Lose the worker with a run on it; return how the run ended."""
         self.run_task(make_start())
-        (report,) = pick(self.supervisor.lose_life(**how), ReportEnd)
+        (report,) = pick(self.supervisor.lose_incarnation(**how), ReportEnd)
         return report.reason
 
     def test_a_worker_that_refuses_connections_has_crashed(self) -> None:
@@ -272,26 +274,28 @@
 
     def test_a_worker_that_leaves_and_is_gone_has_not_crashed(self) -> None:
         self.run_task(make_start())
-        self.supervisor.meet_life(make_life(is_leaving=True), now=1.1)
-        (report,) = pick(self.supervisor.lose_life(is_over=False, is_refused=True), ReportEnd)
+        self.supervisor.register_incarnation(make_life(is_leaving=True), now=1.1)
+        (report,) = pick(
+            self.supervisor.lose_incarnation(is_over=False, is_refused=True), ReportEnd
+        )
         self.assertIs(EndReason.STOPPED, report.reason)
 
     def test_a_life_that_was_out_of_reach_comes_back(self) -> None:
-        self.supervisor.lose_life(is_over=False)
-        self.supervisor.meet_life(make_life("i-1"), now=2.0)
-        self.assertEqual("i-1", self.supervisor.life.id)
+        self.supervisor.lose_incarnation(is_over=False)
+        self.supervisor.register_incarnation(make_life("i-1"), now=2.0)
+        self.assertEqual("i-1", self.supervisor.incarnation.id)
         self.assertFalse(self.supervisor.is_accepting(now=2.0))
 
     def test_a_wrong_report_met_first_does_not_bar_the_life_that_is_there(self) -> None:
-        self.supervisor.lose_life(is_over=False)
-        self.supervisor.meet_life(make_life("i-0"), now=2.0)
-        self.supervisor.lose_life(is_over=True)
-        self.supervisor.meet_life(make_life("i-1"), now=2.1)
-        self.assertEqual("i-1", self.supervisor.life.id)
+        self.supervisor.lose_incarnation(is_over=False)
+        self.supervisor.register_incarnation(make_life("i-0"), now=2.0)
+        self.supervisor.lose_incarnation(is_over=True)
+        self.supervisor.register_incarnation(make_life("i-1"), now=2.1)
+        self.assertEqual("i-1", self.supervisor.incarnation.id)
 
     def test_a_leaving_worker_gets_no_start_and_keeps_its_runs(self) -> None:
         self.run_task(make_start())
-        self.supervisor.meet_life(make_life(is_leaving=True), now=1.0)
+        self.supervisor.register_incarnation(make_life(is_leaving=True), now=1.0)
         (report,) = pick(self.start(make_start("b")), ReportEnd)
         self.assertIs(EndReason.NOT_TAKEN, report.reason)
         self.assertEqual(1, len(self.supervisor.runs))
@@ -306,18 +310,18 @@
 class SilenceTests(SupervisorTestCase):
     def test_a_silent_worker_without_runs_is_looked_at_until_it_answers(self) -> None:
         """Nothing else would ever let it take starts again."""
-        self.supervisor.note_silence()
+        self.supervisor.note_unresponsive()
         self.assertTrue(self.supervisor.has_work)
-        self.assertEqual([ReportRoom()], self.look(now=1.0))
+        self.assertEqual([ReportCapacity()], self.poll(now=1.0))
         self.assertTrue(self.supervisor.is_accepting(now=1.0))
         self.assertFalse(self.supervisor.has_work)
 
     def test_what_runs_is_not_stopped_for_a_silence(self) -> None:
         self.run_task(make_start())
-        self.assertEqual([ReportRoom()], self.supervisor.note_silence())
+        self.assertEqual([ReportCapacity()], self.supervisor.note_unresponsive())
 
     def test_a_start_on_a_silent_worker_is_not_taken(self) -> None:
-        self.supervisor.note_silence()
+        self.supervisor.note_unresponsive()
         (report,) = pick(self.start(make_start()), ReportEnd)
         self.assertIs(EndReason.NOT_TAKEN, report.reason)
 
@@ -327,27 +331,27 @@
         """An agent that ticks each 50 ms may never see that starts were not taken in between."""
         self.replace_life("i-2")
         self.assertFalse(self.supervisor.is_accepting(now=1.0))
-        self.assertEqual([ReportRoom()], self.look(now=1.0))
+        self.assertEqual([ReportCapacity()], self.poll(now=1.0))
         self.assertTrue(self.supervisor.is_accepting(now=1.0))
-        self.assertEqual([], self.look(now=1.1))
+        self.assertEqual([], self.poll(now=1.1))
 
 
 class PaceTests(SupervisorTestCase):
     def test_a_run_without_progress_is_reported_as_stalled(self) -> None:
         run_id = self.run_task(make_start())
-        self.look(ListedRun(run_id, 20.0), now=1.1)
-        self.look(ListedRun(run_id, 20.0), now=1.3)
-        (report,) = pick(self.look(ListedRun(run_id, 20.0), now=1.6), ReportSlow)
+        self.poll(ListedRun(run_id, 20.0), now=1.1)
+        self.poll(ListedRun(run_id, 20.0), now=1.3)
+        (report,) = pick(self.poll(ListedRun(run_id, 20.0), now=1.6), ReportSlow)
         self.assertTrue(report.is_stalled)
 
     def test_a_run_that_is_on_its_way_is_not_reported(self) -> None:
         run_id = self.run_task(make_start())
-        self.assertEqual([], pick(self.look(ListedRun(run_id, 90.0), now=1.2), ReportSlow))
+        self.assertEqual([], pick(self.poll(ListedRun(run_id, 90.0), now=1.2), ReportSlow))
 
     def test_the_pace_of_a_worker_needs_several_jobs(self) -> None:
         runs = [self.run_task(make_start(name)) for name in ("a", "b", "c")]
         rows = [ListedRun(run_id, 10.0) for run_id in runs]
-        reports = pick(self.look(*rows, now=1.2), ReportSlow)
+        reports = pick(self.poll(*rows, now=1.2), ReportSlow)
         self.assertEqual({sure(10.0)}, {round(report.worker_pace, 6) for report in reports})
 
     def test_a_pace_is_judged_as_of_the_look_that_saw_the_progress(self) -> None:
@@ -361,7 +365,7 @@
             self.supervisor.runs[run_id].request = replace(
                 self.supervisor.runs[run_id].request, expected_s=2.0
             )
-        self.look(*(ListedRun(run_id, 6.0) for run_id in runs), now=1.12)
+        self.poll(*(ListedRun(run_id, 6.0) for run_id in runs), now=1.12)
         self.assertEqual(sure(1.0), round(self.supervisor.get_pace(), 6))
 
     def test_jobs_declared_too_short_do_not_make_a_sound_worker_slow(self) -> None:
@@ -370,13 +374,13 @@
         # Ratios of 4.0, 1.5 and 1.4 to the expected time: their plain mean is above the bound.
         percents = (25.0, 66.67, 71.43)
         rows = [ListedRun(run, percent) for run, percent in zip(runs, percents, strict=True)]
-        self.look(*rows, now=1.2)
+        self.poll(*rows, now=1.2)
         self.assertLess(0.0, self.supervisor.get_pace())
         self.assertLess(self.supervisor.get_pace(), SLOW_PACE)
 
     def test_one_job_says_nothing_of_its_worker(self) -> None:
         run_id = self.run_task(make_start())
-        (report,) = pick(self.look(ListedRun(run_id, 10.0), now=1.2), ReportSlow)
+        (report,) = pick(self.poll(ListedRun(run_id, 10.0), now=1.2), ReportSlow)
         self.assertEqual(0.0, report.worker_pace)
 
 
@@ -424,7 +428,9 @@
         """As by an agent that stood still; the run may have begun at any time since its order."""
         request = make_start()
         self.start(request, now=1.0)
-        self.supervisor.take_outcome(request.run_id, StartOutcome.RUNNING, now=1.4, expires_at=2.0)
+        self.supervisor.handle_start_outcome(
+            request.run_id, StartOutcome.RUNNING, now=1.4, expires_at=2.0
+        )
         self.assertEqual([("a", None, True)], self.name_crashed())
 
     def test_a_start_on_its_way_may_have_come_too_late(self) -> None:
@@ -434,17 +440,17 @@
     def test_a_run_that_is_listed_before_its_start_is_answered_has_begun(self) -> None:
         request = make_start()
         self.start(request)
-        self.look(ListedRun(request.run_id, 1.0), now=1.2)
+        self.poll(ListedRun(request.run_id, 1.0), now=1.2)
         self.assertEqual([True], [has_begun for _, _, has_begun in self.name_crashed()])
 
     def test_after_a_start_that_found_nothing_there_none_is_taken_until_a_look(self) -> None:
         request = make_start()
         self.start(request)
-        actions = self.supervisor.take_outcome(
+        actions = self.supervisor.handle_start_outcome(
             request.run_id, StartOutcome.NOT_LISTENING, now=1.0, expires_at=1.0
         )
         (report,) = pick(actions, ReportEnd)
         self.assertIs(EndReason.NOT_TAKEN, report.reason)
         self.assertFalse(self.supervisor.is_accepting(now=1.0))
-        self.look(now=1.1)
+        self.poll(now=1.1)
         self.assertTrue(self.supervisor.is_accepting(now=1.1))
--- a/tests/fleet/test_dialling.py
+++ b/tests/fleet/test_dialling.py
@@ -11,7 +11,7 @@
 from dalemast.fleet.book import AddressBook
 from tests.base import AsyncTestCase
 
-BOUNDS = LinkBounds(near=3, far=2)
+BOUNDS = LinkBounds(same_data_centre=3, other_data_centres=2)
 NEAR, FAR = "austin", "waco"
 
 
@@ -52,7 +52,9 @@
 
     def test_of_many_only_the_chosen_ones_and_the_seeds_are_dialled(self) -> None:
         members = [make_member(number) for number in range(35)]
-        known = [KnownEntry(name=m.name, is_near=m.data_centre == NEAR) for m in members]
+        known = [
+            KnownEntry(name=m.name, is_same_data_centre=m.data_centre == NEAR) for m in members
+        ]
         chosen = choose_owners("agent", known, bounds=BOUNDS)
         expected = {m.address for m in members if m.name in chosen}
         seed = next(m.address for m in members if m.name not in chosen)
@@ -64,4 +66,4 @@
         members = [make_member(number) for number in range(35)]
         dialled = set(self.dial(members))
         near = sum(m.data_centre == NEAR for m in members if m.address in dialled)
-        self.assertEqual(BOUNDS.near, near)
+        self.assertEqual(BOUNDS.same_data_centre, near)
--- a/tests/fleet/test_foreign.py
+++ b/tests/fleet/test_foreign.py
@@ -148,7 +148,7 @@
 
 def get_life_id(agent: Any) -> str | None:
     """Return the life of its worker that an agent believes in."""
-    life = agent._supervisor.life
+    life = agent._supervisor.incarnation
     return None if life is None else life.id
 
 
--- a/tests/fleet/test_looks.py
+++ b/tests/fleet/test_looks.py
@@ -6,14 +6,14 @@
 from unittest import mock
 
 from dalemast.core.supervision import (
-    LookPlan,
+    PollPlan,
     RunId,
     StartRequest,
     Supervisor,
     SupervisorLimits,
-    WorkerLife,
+    WorkerIncarnation,
 )
-from dalemast.core.supervision.looks import LONGEST_LOOK_PAUSE_S, LOOK_WAIT_S
+from dalemast.core.supervision.polls import MAX_POLL_PAUSE_S, POLL_WAIT_S
 from dalemast.core.workloads import Resources, TaskKey
 from dalemast.fleet.agent.worker import WorkerLoop
 from dalemast.fleet.base import Look, WorkerUnanswered
@@ -34,10 +34,10 @@
         """Of each look, how long it may wait and whether it renews the lease."""
         self._served = served
 
-    def meet(self, life: WorkerLife) -> None:
+    def meet(self, life: WorkerIncarnation) -> None:
         """Nothing to note."""
 
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def look(self, plan: PollPlan, *, limit: float) -> Look:
         """Fail without any wait."""
         self.looks += 1
         self.asked.append((plan.wait_s, plan.renews))
@@ -50,9 +50,9 @@
 
 def make_supervisor() -> Supervisor:
     """Return a supervisor whose worker has reported."""
-    supervisor = Supervisor(limits=SupervisorLimits(owner_patience_s=1.0, lease_s=0.6, stop_s=0.05))
-    supervisor.meet_life(
-        WorkerLife(
+    supervisor = Supervisor(limits=SupervisorLimits(owner_timeout_s=1.0, lease_s=0.6, stop_s=0.05))
+    supervisor.register_incarnation(
+        WorkerIncarnation(
             id="w",
             service="floor",
             data_centre="austin",
@@ -87,7 +87,7 @@
     def test_looks_become_rare_while_the_worker_resets_them(self) -> None:
         pauses = self.get_pauses(served=set())
         self.assertEqual([0.0, 0.02, 0.04, 0.08, 0.16, 0.16, 0.16, 0.16], pauses)
-        self.assertEqual(LONGEST_LOOK_PAUSE_S, max(pauses))
+        self.assertEqual(MAX_POLL_PAUSE_S, max(pauses))
 
     def test_a_reset_in_passing_costs_nothing(self) -> None:
         pauses = self.get_pauses(served={1, 3, 5, 7})
@@ -100,7 +100,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.supervisor = make_supervisor()
-        self.supervisor.look((), (), asked_at=0.0, now=0.0)
+        self.supervisor.handle_poll((), (), asked_at=0.0, now=0.0)
 
     def make_loop(self, driver: ResettingWorker) -> WorkerLoop:
         loop = WorkerLoop(
@@ -127,7 +127,7 @@
             resources=Resources(cpu=100),
             expected_s=1.0,
             number=1,
-            said_at=1.0,
+            sent_at=1.0,
         )
         self.supervisor.start(request, now=1.0)
 
@@ -135,8 +135,8 @@
         self.start_run()
         driver = ResettingWorker(served={3})
         self.look(self.make_loop(driver), times=4)
-        self.assertEqual([(LOOK_WAIT_S, True), (0.0, False), (0.0, False)], driver.asked[:3])
-        self.assertEqual((LOOK_WAIT_S, True), driver.asked[3])
+        self.assertEqual([(POLL_WAIT_S, True), (0.0, False), (0.0, False)], driver.asked[:3])
+        self.assertEqual((POLL_WAIT_S, True), driver.asked[3])
 
     def test_it_takes_no_starts_until_it_answers(self) -> None:
         driver = ResettingWorker(served={2})
@@ -151,4 +151,4 @@
         driver = ResettingWorker(served=set())
         driver.leased_until = 0.0
         self.look(self.make_loop(driver), times=1)
-        self.assertIsNone(self.supervisor.life)
+        self.assertIsNone(self.supervisor.incarnation)
--- a/tests/fleet/test_over_by_now.py
+++ b/tests/fleet/test_over_by_now.py
@@ -27,7 +27,7 @@
                 await wait_until(lambda: bool(fleet.get_running(job_id)), "it to run")
                 worker = next(w for w in fleet.workers if w.active_tasks)
                 agent = fleet.agents[fleet.workers.index(worker)]
-                agent._worker.lose_life(worker.life_id)
+                agent._worker.lose_incarnation(worker.life_id)
                 self.assertEqual(200, (await job).status)
                 self.assertEqual([], overlaps.found)
 
@@ -63,4 +63,8 @@
 
 def _has_settled(agent: object, first: str) -> bool:
     supervisor = agent._supervisor  # type: ignore[attr-defined]
-    return supervisor.life is not None and supervisor.life.id != first and supervisor.is_settled
+    return (
+        supervisor.incarnation is not None
+        and supervisor.incarnation.id != first
+        and supervisor.is_settled
+    )
--- a/tests/fleet/test_preemption.py
+++ b/tests/fleet/test_preemption.py
@@ -32,7 +32,7 @@
 class ReportTests(testtools.TestCase):
     def test_each_owner_hears_at_once_that_its_room_is_free(self) -> None:
         """The room is kept for less than the pause between two reports to one of many owners."""
-        limits = SupervisorLimits(owner_patience_s=0.5, lease_s=0.6, stop_s=0.05)
+        limits = SupervisorLimits(owner_timeout_s=0.5, lease_s=0.6, stop_s=0.05)
         supervisor = Supervisor(limits=limits)
         owners = ("o1", "o2")
         sessions = {name: OwnerSession(link=mock.Mock(), links=mock.Mock()) for name in owners}
@@ -44,9 +44,9 @@
         for name in owners:
             victim = mock.Mock()
             victim.request.run_id, victim.request.resources = name, Resources(cpu=1000)
-            supervisor.takeovers.begin(name, want, [victim], now=NOW)
+            supervisor.reservations.begin(name, want, [victim], now=NOW)
         for number, name in enumerate(owners):
-            supervisor.takeovers.note_end(name, now=NOW + 0.01 * number)  # type: ignore[arg-type]
+            supervisor.reservations.note_end(name, now=NOW + 0.01 * number)  # type: ignore[arg-type]
             reports.note_change(now=NOW + 0.01 * number)
         for session in sessions.values():
             sent = [call.args[0] for call in session.link.send.call_args_list]  # type: ignore[attr-defined]
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -79,7 +79,7 @@
             session = OwnerSession(link=FakeLink(), links=mock.Mock())  # type: ignore[arg-type]
             session.member = make_member(owner)
             self.sessions[owner] = session
-        limits = SupervisorLimits(owner_patience_s=0.45, lease_s=0.6, stop_s=0.05)
+        limits = SupervisorLimits(owner_timeout_s=0.45, lease_s=0.6, stop_s=0.05)
         return EntryRelay(sessions=self.sessions, supervisor=Supervisor(limits=limits))
 
     def take(self, owner: str) -> list[Any]:
--- a/tests/fleet/test_speeds.py
+++ b/tests/fleet/test_speeds.py
@@ -7,7 +7,7 @@
 import testtools
 
 from dalemast.core.scheduling import LoadPolicy
-from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerLife
+from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
@@ -27,14 +27,14 @@
 
     def setUp(self) -> None:
         super().setUp()
-        limits = SupervisorLimits(owner_patience_s=0.5, lease_s=0.6, stop_s=0.05)
+        limits = SupervisorLimits(owner_timeout_s=0.5, lease_s=0.6, stop_s=0.05)
         self.supervisor = Supervisor(limits=limits)
         self.meet("i-1")
         self.sessions: dict[str, OwnerSession] = {}
 
     def meet(self, life: str) -> None:
-        self.supervisor.meet_life(
-            WorkerLife(
+        self.supervisor.register_incarnation(
+            WorkerIncarnation(
                 id=life,
                 service="floor",
                 data_centre="austin",
@@ -44,7 +44,7 @@
             ),
             now=NOW,
         )
-        self.supervisor.look((), (), asked_at=NOW, now=NOW)
+        self.supervisor.handle_poll((), (), asked_at=NOW, now=NOW)
 
     def make_reports(self, *, tells_speed: bool = True) -> WorkerReports:
         return WorkerReports(
@@ -93,7 +93,7 @@
         reports = self.make_reports()
         self.learn(1.67)
         reports.refresh(now=NOW)
-        self.supervisor.lose_life(is_over=True)
+        self.supervisor.lose_incarnation(is_over=True)
         self.meet("i-2")
         owner = self.add_owner("new")
         reports.greet(owner, now=NOW + 1.0)
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -8,7 +8,7 @@
 import testtools
 
 from dalemast.core.scheduling import LoadPolicy, Want
-from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerLife
+from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
@@ -27,9 +27,9 @@
 
     def setUp(self) -> None:
         super().setUp()
-        limits = SupervisorLimits(owner_patience_s=1e9, lease_s=0.6, stop_s=0.05)
+        limits = SupervisorLimits(owner_timeout_s=1e9, lease_s=0.6, stop_s=0.05)
         self.supervisor = Supervisor(limits=limits)
-        life = WorkerLife(
+        life = WorkerIncarnation(
             id="i-1",
             service="floor",
             data_centre="austin",
@@ -37,8 +37,8 @@
             labels=frozenset(),
             is_leaving=False,
         )
-        self.supervisor.meet_life(life, now=NOW)
-        self.supervisor.look((), (), asked_at=NOW, now=NOW)
+        self.supervisor.register_incarnation(life, now=NOW)
+        self.supervisor.handle_poll((), (), asked_at=NOW, now=NOW)
         self.told: list[str] = []
         self.sessions: dict[str, OwnerSession] = {}
         for name in OWNERS:
@@ -48,7 +48,7 @@
         session = OwnerSession(link=mock.Mock(), links=mock.Mock())
         session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no one of them is offered the room before the others.
-        session.audience.want = Want(rank=(0.0,), cpu=8000)
+        session.audience.request = Want(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
     def note(self, name: str, message: object) -> None:
@@ -89,7 +89,7 @@
             metrics=Metrics(),
         )
         reports.note_change(now=NOW)
-        self.sessions["o2"].audience.hasten()
+        self.sessions["o2"].audience.mark_urgent()
         reports.send_due(now=NOW)
         self.told = []
         reports.note_change(now=NOW + PAUSE_S)
--- a/tests/histories/worker.py
+++ b/tests/histories/worker.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from dalemast.core.supervision import WorkerLife
+from dalemast.core.supervision import WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.emulator.runs import EmulatedRuns, Order
 from dalemast.platform.lives import make_life_id
@@ -106,9 +106,9 @@
         """The tasks that ended well in earlier lives."""
 
     @property
-    def life(self) -> WorkerLife:
+    def life(self) -> WorkerIncarnation:
         """Its account of itself."""
-        return WorkerLife(
+        return WorkerIncarnation(
             id=make_life_id(self._wire_id, self._born),
             service=SERVICE,
             data_centre=DATA_CENTRE,
--- a/tests/platform/reports.py
+++ b/tests/platform/reports.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from dalemast.core.supervision import WorkerLife
+from dalemast.core.supervision import WorkerIncarnation
 from dalemast.settings import AddressSettings, FleetAgentSettings, ListenerSettings
 
 ADDRESS = "10.1.0.14:8165"
@@ -29,19 +29,19 @@
     """Notes what a registration tells, in order."""
 
     def __init__(self) -> None:
-        self.lives: list[WorkerLife] = []
+        self.lives: list[WorkerIncarnation] = []
         self.lost: list[str] = []
         self.restored: list[str] = []
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerIncarnation) -> None:
         """Note an account."""
         self.lives.append(life)
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """Note an end."""
         self.lost.append(life_id)
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """Note that a life was another writer's to end."""
         self.restored.append(life_id)
 
--- a/tests/platform/test_registration.py
+++ b/tests/platform/test_registration.py
@@ -5,13 +5,13 @@
 import msgspec
 import testtools
 
-from dalemast.core.supervision import WorkerLife
+from dalemast.core.supervision import WorkerIncarnation
 from dalemast.platform import PlatformRegistration
 from tests.platform.reports import LIFE, Observer, make_report, make_settings
 
 
 class ReportTests(testtools.TestCase):
-    def take(self, report: dict[str, object]) -> list[WorkerLife]:
+    def take(self, report: dict[str, object]) -> list[WorkerIncarnation]:
         observer = Observer()
         registration = PlatformRegistration(settings=make_settings(), observer=observer)
         registration.take(LIFE, msgspec.json.encode(report))
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from dalemast.core.scheduling import EndReason
-from dalemast.core.supervision import LookPlan, RunId, StartOutcome, StartRequest, WorkerLife
+from dalemast.core.supervision import PollPlan, RunId, StartOutcome, StartRequest, WorkerIncarnation
 from dalemast.core.workloads import Resources, TaskKey
 from dalemast.emulator import EmulatedWorker
 from dalemast.emulator.fates import CallKind
@@ -37,7 +37,7 @@
         resources=Resources(cpu=1000, memory_mb=10),
         expected_s=0.1,
         number=1,
-        said_at=0.0,
+        sent_at=0.0,
     )
 
 
@@ -46,8 +46,8 @@
     return float("inf")
 
 
-def plan(*, wait_s: float, renews: bool) -> LookPlan:
-    return LookPlan(wait_s=wait_s, slack_s=SLACK_S, renews=renews)
+def plan(*, wait_s: float, renews: bool) -> PollPlan:
+    return PollPlan(wait_s=wait_s, slack_s=SLACK_S, renews=renews)
 
 
 class DriverTestCase(AsyncTestCase):
@@ -342,8 +342,8 @@
         self.assertEqual([], client.calls)
 
 
-def make_life(life_id: str) -> WorkerLife:
-    return WorkerLife(
+def make_life(life_id: str) -> WorkerIncarnation:
+    return WorkerIncarnation(
         id=life_id,
         service="floor",
         data_centre="austin",
