--- a/dalemast/core/scheduling/__init__.py
+++ b/dalemast/core/scheduling/__init__.py
@@ -32,7 +32,7 @@
 from dalemast.core.scheduling.orders import LeastSlackOrder, PriorityOrder
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.scheduling.scheduler import Scheduler, SchedulerLimits
-from dalemast.core.scheduling.workers import RoomReport, SlowRun, WorkerView
+from dalemast.core.scheduling.workers import CapacityReport, SlowRun, WorkerView
 
 __all__ = [
     "NOTHING_ASKED",
@@ -58,7 +58,7 @@
     "LoadWord",
     "PriorityOrder",
     "RefusalCause",
-    "RoomReport",
+    "CapacityReport",
     "RunMoved",
     "RunPresumedOver",
     "RunTimes",
--- a/dalemast/core/scheduling/actions.py
+++ b/dalemast/core/scheduling/actions.py
@@ -91,8 +91,8 @@
 class StartTask:
     """Start a task on a worker. ``number`` counts the owner's starts.
 
-    ``spare_s`` is for how long from now the task could still begin anew and its job be on time;
-    None if it must not be preempted.
+    ``restart_slack_s`` is for how long from now the task could still begin anew and its job be on
+    time; None if it must not be preempted.
     """
 
     worker: str
@@ -101,7 +101,7 @@
     run: int
     expected_s: float
     number: int
-    spare_s: float | None = None
+    restart_slack_s: float | None = None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -122,7 +122,7 @@
         """Count what racks a job's data makes wanted."""
         self._racks.note_job(request, run_times, now=now)
 
-    def read_demand(self, demand: DemandBook) -> None:
+    def set_demand(self, demand: DemandBook) -> None:
         """Take what waits at the other entries from a book."""
         self._demand = demand
 
@@ -183,7 +183,7 @@
             costs.append(SPLIT_COST + ways[0][0])
         return Outlook(
             data_centre=place,
-            is_near=any(view.is_near for view in views),
+            is_near=any(view.is_same_data_centre for view in views),
             cost=max(costs),
             wait=wait_s / max(usual_s, SHORTEST_S),
             room=sum(max(view.free.cpu, 0) for view in views),
@@ -225,10 +225,10 @@
     if not slots:
         return float("inf")
     steps = sorted(
-        (max(room.in_s - (now - view.coming_told_at), 0.0), room.cpu)
+        (max(room.in_s - (now - view.releases_reported_at), 0.0), room.cpu)
         for view in views
-        if now - view.coming_told_at <= WORD_AGE_S
-        for room in view.coming
+        if now - view.releases_reported_at <= WORD_AGE_S
+        for room in view.releases
         if 0.0 <= room.in_s < float("inf") and room.cpu > 0
     )
     left = missing * needed.cpu
--- a/dalemast/core/scheduling/base.py
+++ b/dalemast/core/scheduling/base.py
@@ -42,7 +42,7 @@
         """Take in a job that has arrived."""
         return
 
-    def read_demand(self, demand: DemandBook) -> None:
+    def set_demand(self, demand: DemandBook) -> None:
         """Take what waits at the other entries from a book, which its owner keeps up to date."""
         return
 
--- a/dalemast/core/scheduling/choices.py
+++ b/dalemast/core/scheduling/choices.py
@@ -97,7 +97,7 @@
         """Return the workers of a service that a choice may pick once they have room."""
         return self._get_quick(service)
 
-    def find_worth_clearing(self, job: Job, *, begins_at: float) -> list[WorkerView]:
+    def find_preemptible(self, job: Job, *, begins_at: float) -> list[WorkerView]:
         """Return the workers that suit a waiting task of a job once they have room for it.
 
         What begins there at ``begins_at`` must be on time, as far as the worker's speed is known.
@@ -122,13 +122,13 @@
 
         ``kept`` is room, by worker, that this task must leave free.
         """
-        return self.pick(job, task, self.find_suiting(job, task, kept=kept))
+        return self.pick(job, task, self.find_eligible(job, task, kept=kept))
 
     def pick(self, job: Job, task: Task, workers: list[WorkerView]) -> WorkerView | None:
         """Return the best of the workers that suit a task, or None if there are none."""
         return self._placement.choose(job=job, step=task.step, workers=workers, now=self._now)
 
-    def find_suiting(
+    def find_eligible(
         self, job: Job, task: Task, *, kept: Mapping[str, Resources] = NOTHING_KEPT
     ) -> list[WorkerView]:
         """Return the workers on which a task may be started now."""
@@ -142,7 +142,7 @@
             workers = [view for view in workers if not _is_avoided(task, view)]
         return workers
 
-    def choose_at_last(self, job: Job, task: Task) -> WorkerView | None:
+    def choose_last_resort(self, job: Job, task: Task) -> WorkerView | None:
         """Return a worker for a task of a job that is refused otherwise, or None.
 
         However slow a worker is, and whatever it has declined, it will do while the job can still
@@ -161,7 +161,7 @@
             job=job, step=task.step, workers=others or workers, now=self._now
         )
 
-    def count_left_out(self, job: Job, task: Task) -> LeftOut:
+    def count_exclusions(self, job: Job, task: Task) -> LeftOut:
         """Return how many workers of the service each rule leaves out for a task that waits."""
         service = job.request.queue.service
         suiting = self._get_suiting(service)
--- a/dalemast/core/scheduling/dispatching.py
+++ b/dalemast/core/scheduling/dispatching.py
@@ -48,7 +48,7 @@
         by it, also after its worker was out of reach."""
 
     @property
-    def least_waiting_cpu(self) -> int:
+    def min_waiting_cpu(self) -> int:
         """What the smallest waiting task takes; news of less room changes nothing."""
         return self._least_waiting_cpu
 
@@ -72,7 +72,7 @@
         )
         return [*starts, *asked, *self._ask_to_preempt(waiting, choices, now)]
 
-    def start_at_last(self, jobs: Iterable[Job], *, now: float) -> list[StartTask]:
+    def start_last_resort(self, jobs: Iterable[Job], *, now: float) -> list[StartTask]:
         """Start what is refused otherwise wherever it can still be of use."""
         choices = self._choice.begin(now=now)
         most_free = self._choice.get_most_free()
@@ -86,10 +86,10 @@
         self, waiting: Iterable[Job], choices: ChoiceRound, now: float
     ) -> list[Action]:
         """Ask for room to be made where the jobs that may preempt can use it."""
-        begins_at = now + self._preemption.takeover_s
-        askers = self._preemption.find_askers(waiting, now=now)
+        begins_at = now + self._preemption.preemption_delay_s
+        askers = self._preemption.select_requesting_jobs(waiting, now=now)
         return self._wants.ask_to_preempt(
-            askers, lambda job: choices.find_worth_clearing(job, begins_at=begins_at), now=now
+            askers, lambda job: choices.find_preemptible(job, begins_at=begins_at), now=now
         )
 
     def _start_job_at_last(
@@ -102,7 +102,7 @@
             step = task.key.step
             if step in full or task.step.resources.cpu > room or job.holds_back(task):
                 continue
-            view = choices.choose_at_last(job, task)
+            view = choices.choose_last_resort(job, task)
             if view is None:
                 full.add(step)
             else:
@@ -119,7 +119,7 @@
                 break
             if task.key.step in full or job.holds_back(task):
                 continue
-            suiting = choices.find_suiting(job, task)
+            suiting = choices.find_eligible(job, task)
             if not suiting:
                 if not task.is_choosy:
                     # Others of its step find no more than this one.
@@ -140,7 +140,7 @@
         expected_s = self._run_times.expect(queue=queue.name, declared_s=task.step.estimate_s)
         run_factor = self._placement.get_run_factor(task.step, view)
         number = next(self._numbers)
-        view.take(task.step.resources, number=number)
+        view.reserve(task.step.resources, number=number)
         job.set_placed(
             task, worker=view.name, now=now, expected_s=expected_s, run_factor=run_factor
         )
@@ -151,7 +151,7 @@
             run=task.run,
             expected_s=expected_s * run_factor,
             number=number,
-            spare_s=self._preemption.get_spare_s(job, task, now=now),
+            restart_slack_s=self._preemption.get_restart_slack_s(job, task, now=now),
         )
 
 
--- a/dalemast/core/scheduling/forecasts.py
+++ b/dalemast/core/scheduling/forecasts.py
@@ -16,7 +16,7 @@
 from dalemast.core.scheduling.base import BaseOrder
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import LATE_FACTOR, Job, TaskPhase
-from dalemast.core.scheduling.preemption import MAY_PREEMPT
+from dalemast.core.scheduling.preemption import MAX_PREEMPTING_PRIORITY
 from dalemast.core.scheduling.rooms import (
     OwnRun,
     RoomStep,
@@ -189,7 +189,7 @@
     def _has_less_urgent(self, queue: Queue) -> bool:
         """Tell whether a queue may preempt others, and less urgent ones have arrived."""
         least_urgent = self._least_urgent.get(queue.service, queue.priority)
-        return queue.priority <= MAY_PREEMPT and queue.priority < least_urgent
+        return queue.priority <= MAX_PREEMPTING_PRIORITY and queue.priority < least_urgent
 
     def _list_own_runs(self, now: float) -> dict[str, list[OwnRun]]:
         """Return this owner's runs by worker."""
--- a/dalemast/core/scheduling/placements.py
+++ b/dalemast/core/scheduling/placements.py
@@ -49,7 +49,7 @@
 
     def _get_place_cost(self, job: Job, step: StepRequest, worker: WorkerView) -> float:
         """Return what a worker costs for where it stands, in run times."""
-        return 0.0 if worker.is_near else self._far_penalty
+        return 0.0 if worker.is_same_data_centre else self._far_penalty
 
     def _get_cost(self, job: Job, step: StepRequest, worker: WorkerView, now: float) -> float:
         cost = worker.get_slowness(now) * self.get_run_factor(step, worker)
--- a/dalemast/core/scheduling/preemption.py
+++ b/dalemast/core/scheduling/preemption.py
@@ -15,11 +15,11 @@
 from dalemast.core.scheduling.jobs import Job, Task
 from dalemast.core.scheduling.orders import BEGUN, ON_TIME
 
-__all__ = ["MAY_PREEMPT", "Preemption", "PreemptingOrder"]
+__all__ = ["MAX_PREEMPTING_PRIORITY", "Preemption", "PreemptingOrder"]
 
 DELAYED = BEGUN - 1.0
 """Standing of a job that has begun and has an objective's time left to be of use."""
-MAY_PREEMPT = 0
+MAX_PREEMPTING_PRIORITY = 0
 """Greatest priority number that may preempt others, by the configuration's own rule. Let all but
 the least urgent do so, and the middle ones, which are many, take most of what is taken."""
 WAIT_SHARE = 0.2
@@ -44,7 +44,7 @@
     def get_key(self, job: Job, *, now: float) -> tuple[float, ...]:
         """Return the other order's key, with the standing of a job that has begun, or before it."""
         standing, *others = self._order.get_key(job, now=now)
-        if standing == ON_TIME and job.request.queue.priority <= MAY_PREEMPT:
+        if standing == ON_TIME and job.request.queue.priority <= MAX_PREEMPTING_PRIORITY:
             standing = BEGUN
         elif standing == BEGUN and now > job.latest_late_start - job.objective_s:
             standing = DELAYED
@@ -56,14 +56,14 @@
 
     def __init__(self, *, is_asked: bool, stop_s: float) -> None:
         self._is_asked = is_asked
-        self._takeover_s = stop_s + WAYS_S
+        self._preemption_delay_s = stop_s + WAYS_S
 
     @property
-    def takeover_s(self) -> float:
+    def preemption_delay_s(self) -> float:
         """How long after a question for room the job that asked begins, in seconds."""
-        return self._takeover_s
+        return self._preemption_delay_s
 
-    def get_spare_s(self, job: Job, task: Task, *, now: float) -> float | None:
+    def get_restart_slack_s(self, job: Job, task: Task, *, now: float) -> float | None:
         """Return for how long a task that starts now may give way, or None if it must not.
 
         A job gives way only once: after that it is as late as one that was never preempted would
@@ -71,22 +71,22 @@
         """
         if not self._is_asked or job.has_given_way or task.has_given_way:
             return None
-        spare_s = job.latest_start - self._takeover_s - now
-        return spare_s if 0.0 < spare_s < math.inf else None
+        restart_slack_s = job.latest_start - self._preemption_delay_s - now
+        return restart_slack_s if 0.0 < restart_slack_s < math.inf else None
 
-    def find_askers(self, waiting: Iterable[Job], *, now: float) -> list[Job]:
+    def select_requesting_jobs(self, waiting: Iterable[Job], *, now: float) -> list[Job]:
         """Return the jobs for which room should be made now; they ask again only after a while."""
         if not self._is_asked:
             return []
         askers = [job for job in waiting if job.waiting and self._may_ask(job, now)]
         for job in askers:
-            job.asked_room_until = now + self._takeover_s
+            job.asked_room_until = now + self._preemption_delay_s
         return askers
 
     def _may_ask(self, job: Job, now: float) -> bool:
-        if now <= job.asked_room_until or job.request.queue.priority > MAY_PREEMPT:
+        if now <= job.asked_room_until or job.request.queue.priority > MAX_PREEMPTING_PRIORITY:
             return False
         slack_s = job.latest_start - job.arrived_at
         if now - job.arrived_at < WAIT_SHARE * slack_s:
             return False
-        return now + self._takeover_s <= job.latest_start
+        return now + self._preemption_delay_s <= job.latest_start
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -50,10 +50,10 @@
         if first is None:
             return LeftOut()
         if first.avoided:
-            return self.choices.count_left_out(job, first)
+            return self.choices.count_exclusions(job, first)
         kind = (job.request.queue.service, first.step.resources, first.step.label)
         if kind not in self.left_out:
-            self.left_out[kind] = self.choices.count_left_out(job, first)
+            self.left_out[kind] = self.choices.count_exclusions(job, first)
         return self.left_out[kind]
 
 
--- a/dalemast/core/scheduling/rooms.py
+++ b/dalemast/core/scheduling/rooms.py
@@ -68,13 +68,13 @@
     """
     free = max(view.free.cpu, 0)
     left = max(view.capacity.cpu - free, 0)
-    age_s = now - view.coming_told_at
+    age_s = now - view.releases_reported_at
     told_at = -math.inf
     steps: list[RoomStep] = []
-    if view.coming and 0.0 <= age_s <= fresh_s:
-        told_at = view.coming_told_at
+    if view.releases and 0.0 <= age_s <= fresh_s:
+        told_at = view.releases_reported_at
         before_s = math.inf
-        for row in view.coming:
+        for row in view.releases:
             last_s = row.in_s - age_s
             if not 0.0 <= last_s < math.inf:
                 # It may have come free since, and been taken by another owner.
--- a/dalemast/core/scheduling/scheduler.py
+++ b/dalemast/core/scheduling/scheduler.py
@@ -40,21 +40,21 @@
     WorkerSpeed,
 )
 from dalemast.core.scheduling.numbers import RunNumbers
-from dalemast.core.scheduling.paces import (
-    MOST_SLOW_MOVES,
+from dalemast.core.scheduling.preemption import PreemptingOrder, Preemption
+from dalemast.core.scheduling.refusals import Refusals
+from dalemast.core.scheduling.slow_runs import (
+    MAX_SLOW_MOVES,
     PACE_WEIGHT,
     SLOW_PACE,
-    compare_run,
-    is_move_worth_while,
+    estimate_pace,
+    estimate_slowness,
+    is_move_beneficial,
     is_run_time_plausible,
-    judge_pace,
     would_be_late,
 )
-from dalemast.core.scheduling.preemption import PreemptingOrder, Preemption
-from dalemast.core.scheduling.refusals import Refusals
 from dalemast.core.scheduling.speeds import KnownSpeeds
 from dalemast.core.scheduling.wants import RoomWants
-from dalemast.core.scheduling.workers import RoomReport, SlowRun, WorkerView
+from dalemast.core.scheduling.workers import CapacityReport, SlowRun, WorkerView
 from dalemast.core.workloads import JobRequest, Resources, TaskKey
 
 __all__ = ["Scheduler", "SchedulerLimits"]
@@ -118,7 +118,7 @@
         )
         self._numbers = RunNumbers()
         self._demand = DemandBook()
-        placement.read_demand(self._demand)
+        placement.set_demand(self._demand)
         self._crashes = CrashRecords(open_jobs=self._jobs)
         self._seen = SeenWorkers(started_at=started_at)
         self._forecasts = Forecasts(
@@ -170,12 +170,12 @@
             if task.phase in ON_WORKER
         }
 
-    def get_want(self, worker: str) -> Want | None:
+    def get_capacity_request(self, worker: str) -> Want | None:
         """Return what this owner lacks room for on workers like this one."""
         view = self._workers.get(worker)
         return None if view is None else self._wants.get(view.service)
 
-    def expect_s(self, request: JobRequest) -> float:
+    def estimate_completion_s(self, request: JobRequest) -> float:
         """Return the time in which a job that begins at once is done, with a margin, in seconds."""
         return (1.0 + START_MARGIN) * self._run_times.expect_chain(request)
 
@@ -252,7 +252,7 @@
             view.is_evacuated = view.data_centre in data_centres
         return self.dispatch(now=now)
 
-    def update_worker(self, name: str, report: RoomReport, *, now: float) -> list[Action]:
+    def update_worker(self, name: str, report: CapacityReport, *, now: float) -> list[Action]:
         """Take in an agent's report on its worker."""
         view = self._workers.get(name)
         if view is None:
@@ -260,28 +260,30 @@
         view.update(report, now=now)
         # A peer may have told that it lost the worker, which its agent still has.
         self._clear_unseen(name)
-        if report.pace >= SLOW_PACE * (view.kind_slowness or 1.0):
+        if report.pace >= SLOW_PACE * (view.baseline_slowness or 1.0):
             # All owners' runs tell of it, so an owner need not lose tasks there to learn it.
             view.learn_slowness(report.pace, now=now, weight=PACE_WEIGHT)
         actions: list[Action] = []
-        if view.is_accepting and view.free.cpu >= self._dispatcher.least_waiting_cpu:
+        if view.is_accepting and view.free.cpu >= self._dispatcher.min_waiting_cpu:
             actions = self.dispatch(now=now)
         moves = self._departures.review(now=now)
         return [*actions, *moves, *self._wants.answer_offer(view, actions)]
 
-    def note_coming_room(self, name: str, rows: tuple[ComingRoom, ...], *, now: float) -> None:
+    def note_capacity_releases(
+        self, name: str, rows: tuple[ComingRoom, ...], *, now: float
+    ) -> None:
         """Take in when room comes free on a worker."""
         view = self._workers.get(name)
         if view is not None:
-            view.set_coming(rows, now=now)
+            view.set_releases(rows, now=now)
 
     def note_speed(self, name: str, speed: WorkerSpeed) -> None:
         """Take in what an agent has learned of its worker's speed."""
         view = self._workers.get(name)
         if view is not None and self._policy.learns_speeds:
-            self._speeds.note_told(view, speed)
+            self._speeds.note_reported(view, speed)
 
-    def note_leaving(self, name: str, in_s: float | None, *, now: float) -> None:
+    def note_departure(self, name: str, in_s: float | None, *, now: float) -> None:
         """Take in how long a worker stays at the least, or that it stays after all."""
         view = self._workers.get(name)
         if view is None or (in_s is not None and not is_plausible(in_s)):
@@ -290,7 +292,7 @@
         if in_s is None:
             self._departures.forget_worker(name)
 
-    def note_cut_short(
+    def note_departure_risk(
         self, name: str, job_id: str, key: TaskKey, run: int, report: CutShort, *, now: float
     ) -> list[Action]:
         """Take in that a worker is expected to leave before a run there ends."""
@@ -357,27 +359,30 @@
 
     def note_crash(
         self,
-        life: str,
+        incarnation: str,
         tasks: Iterable[CrashedTask],
         *,
         now: float,
-        is_seen: bool = True,
-        is_hearsay: bool = False,
+        is_observed: bool = True,
+        is_relayed: bool = False,
     ) -> list[Action]:
-        """Take in what ran on a crashed worker, whoever's it was and however often it is told.
+        """Record the tasks that ran on a crashed worker, of any owner; repeats change nothing.
 
-        Without ``is_seen`` the worker may be cut off; its lease is over. By its agent's word what
-        ran there is over; hearsay of another owner may be about a run before this owner's.
+        If not ``is_observed``, the worker may only be unreachable, and its lease has expired. A
+        report from the worker's agent ends the runs there; one that another owner relays does not,
+        since it may be about an earlier run.
         """
         suspects: dict[str, Job] = {}
         for row in tasks:
-            crash = Crash(life=life, age_s=row.age_s, is_seen=is_seen, has_begun=row.has_begun)
+            crash = Crash(
+                life=incarnation, age_s=row.age_s, is_seen=is_observed, has_begun=row.has_begun
+            )
             is_news = self._crashes.note(row.job_id, row.task, crash, now=now)
             job = self._jobs.get(row.job_id)
             if job is None:
                 continue
-            if not is_hearsay:
-                self._end_crashed(job, row.task, life)
+            if not is_relayed:
+                self._end_crashed(job, row.task, incarnation)
             if is_news:
                 suspects[row.job_id] = job
         given_up = [action for job in suspects.values() for action in self._judge(job, now)]
@@ -415,7 +420,7 @@
         self._end_unfinished(job, task, reason)
         return self.dispatch(now=now)
 
-    def report_slow(
+    def handle_slow_run(
         self, name: str, job_id: str, key: TaskKey, run: int, report: SlowRun, *, now: float
     ) -> list[Action]:
         """Move a run that crawls or stands still if a new one elsewhere would end sooner."""
@@ -426,22 +431,22 @@
             return []
         if task.run != run or task.phase is not TaskPhase.PLACED:
             return []
-        pace = judge_pace(job, task, report)
-        if pace < SLOW_PACE * (view.kind_slowness or 1.0):
+        pace = estimate_pace(job, task, report)
+        if pace < SLOW_PACE * (view.baseline_slowness or 1.0):
             return []
-        if not report.is_stalled and task.slow_moves >= MOST_SLOW_MOVES:
+        if not report.is_stalled and task.slow_moves >= MAX_SLOW_MOVES:
             return []
         if not self._is_simply_long(view, report, now):
             view.learn_slowness(pace, now=now, weight=PACE_WEIGHT)
         else:
-            pace = view.kind_slowness or 1.0
-            if not would_be_late(job, task, report, kind_slowness=pace, now=now):
+            pace = view.baseline_slowness or 1.0
+            if not would_be_late(job, task, report, baseline_slowness=pace, now=now):
                 return []
         if not report.is_stalled:
             elsewhere = self._choice.begin(now=now).choose(job, task)
             if elsewhere is None or elsewhere.name == task.worker:
                 return []
-            if not is_move_worth_while(report, pace=pace, elsewhere=elsewhere, now=now):
+            if not is_move_beneficial(report, pace=pace, elsewhere=elsewhere, now=now):
                 return []
             task.slow_moves += 1
         task.phase = TaskPhase.STOPPING
@@ -479,15 +484,15 @@
 
         Where a worker's kind is known, only several runs show that it has turned slow.
         """
-        if view.kind_slowness is None or report.is_stalled:
+        if view.baseline_slowness is None or report.is_stalled:
             return False
-        is_slow = report.worker_pace >= SLOW_PACE * view.kind_slowness
+        is_slow = report.worker_pace >= SLOW_PACE * view.baseline_slowness
         return not is_slow and not view.has_turned_slow(now)
 
     def _end_well(self, job: Job, task: Task, run_s: float, now: float) -> list[Action]:
         view = self._workers.get(task.worker)
         if view is not None:
-            view.learn_end(is_failure=False)
+            view.record_outcome(is_failure=False)
         if is_run_time_plausible(task, run_s, now=now):
             self._learn_run_time(job, task, view, run_s, now)
         job.set_done(task)
@@ -501,7 +506,7 @@
         """Take in how long a task that ended well took, for its worker and for its queue."""
         slowness = 1.0
         if view is not None:
-            view.learn_slowness(compare_run(job, task, run_s), now=now)
+            view.learn_slowness(estimate_slowness(job, task, run_s), now=now)
             slowness = view.get_slowness(now)
         usual_s = run_s / (slowness * task.run_factor)
         self._run_times.learn(
@@ -514,7 +519,7 @@
     def _end_badly(self, job: Job, task: Task, now: float) -> list[Action]:
         view = self._workers.get(task.worker)
         if view is not None:
-            view.learn_end(is_failure=True)
+            view.record_outcome(is_failure=True)
         task.failures += 1
         task.avoided.add(task.worker)
         job.leave_worker(task)
@@ -542,10 +547,10 @@
         job.leave_worker(task)
         job.set_waiting(task)
 
-    def _end_crashed(self, job: Job, key: TaskKey, life: str) -> None:
+    def _end_crashed(self, job: Job, key: TaskKey, incarnation: str) -> None:
         """Let a task wait again whose worker has crashed, if it still ran there."""
         task = job.tasks.get(key)
-        if task is not None and task.worker == life and task.phase in ON_WORKER:
+        if task is not None and task.worker == incarnation and task.phase in ON_WORKER:
             # It may have been told to give way when its worker ended.
             task.has_given_way = True
             job.leave_worker(task)
@@ -567,9 +572,9 @@
         stops = self._give_up(job)
         return [given_up, *stops, self._finish(job, JobState.FAILED, cause, now)]
 
-    def _clear_unseen(self, life: str) -> None:
+    def _clear_unseen(self, incarnation: str) -> None:
         """Note that a worker's life is there, so that it has not ended."""
-        for job_id in self._crashes.clear_unseen(life) & self._jobs.keys():
+        for job_id in self._crashes.clear_unseen(incarnation) & self._jobs.keys():
             self._set_suspicions(self._jobs[job_id])
 
     def _set_suspicions(self, job: Job) -> None:
@@ -596,7 +601,7 @@
 
     def _serve_or_refuse(self, jobs: list[Job], now: float) -> list[Action]:
         """Refuse only what no worker with room could still serve."""
-        starts = self._dispatcher.start_at_last(jobs, now=now) if jobs else []
+        starts = self._dispatcher.start_last_resort(jobs, now=now) if jobs else []
         refused = self._refuse([job for job in jobs if not job.has_begun], now)
         return [*starts, *refused]
 
--- a/dalemast/core/scheduling/paces.py
+++ b/dalemast/core/scheduling/slow_runs.py
@@ -6,13 +6,13 @@
 from dalemast.core.scheduling.workers import SlowRun, WorkerView
 
 __all__ = [
-    "MOST_SLOW_MOVES",
+    "MAX_SLOW_MOVES",
     "PACE_WEIGHT",
     "SLOW_PACE",
-    "compare_run",
-    "is_move_worth_while",
+    "estimate_slowness",
+    "is_move_beneficial",
     "is_run_time_plausible",
-    "judge_pace",
+    "estimate_pace",
     "would_be_late",
 ]
 
@@ -27,7 +27,7 @@
 """Ended tasks of a step that are enough to judge the others by."""
 MOVE_GAIN = 1.3
 """How much longer the rest of a slow run must be than a new run elsewhere before it is moved."""
-MOST_SLOW_MOVES = 1
+MAX_SLOW_MOVES = 1
 """How often a task may be moved since its run is slow. One that is as slow elsewhere is simply
 long, and says nothing of its workers. Without the bound a task of 6.4 s, whose siblings took 2.5 s,
 was moved every 0.3 s until its caller gave up after 27 s, and 71 workers were distrusted for it."""
@@ -40,7 +40,7 @@
 """Expected times below this are taken as this long, so that no ratio is unbounded."""
 
 
-def judge_pace(job: Job, task: Task, report: SlowRun) -> float:
+def estimate_pace(job: Job, task: Task, report: SlowRun) -> float:
     """Return how many times as long as elsewhere the run takes, by the best evidence.
 
     A declared time says little of one run, since it may simply be a long one. Tasks of the same
@@ -63,7 +63,7 @@
     return 0.0 <= run_s <= now - task.placed_at + CLOCK_ERROR_S
 
 
-def compare_run(job: Job, task: Task, run_s: float) -> float:
+def estimate_slowness(job: Job, task: Task, run_s: float) -> float:
     """Return an ended run's time over what it takes elsewhere, by ended tasks of its step.
 
     Without them it is compared with the expected time and bounded: it may be a long job.
@@ -75,21 +75,21 @@
     return _get_ratio(local_s, sibling_s)
 
 
-def is_move_worth_while(report: SlowRun, *, pace: float, elsewhere: WorkerView, now: float) -> bool:
+def is_move_beneficial(report: SlowRun, *, pace: float, elsewhere: WorkerView, now: float) -> bool:
     """Tell whether a new run on another worker would end well before this one."""
     new_run_s = report.total_s / pace * elsewhere.get_slowness(now) + STOP_COST_S
     return report.total_s - report.age_s >= MOVE_GAIN * new_run_s
 
 
 def would_be_late(
-    job: Job, task: Task, report: SlowRun, *, kind_slowness: float, now: float
+    job: Job, task: Task, report: SlowRun, *, baseline_slowness: float, now: float
 ) -> bool:
     """Tell whether a run that is simply long makes its job late since its worker is of a slow kind.
 
     Its length stretches the job's objective, as on a worker of usual speed; that counts the job's
     other steps as no longer than this task.
     """
-    usual_s = report.total_s / (task.run_factor * kind_slowness)
+    usual_s = report.total_s / (task.run_factor * baseline_slowness)
     objective_s = job.request.queue.get_objective_s(max(usual_s, job.chain_s))
     return now - report.age_s + report.total_s > job.arrived_at + objective_s
 
--- a/dalemast/core/scheduling/speeds.py
+++ b/dalemast/core/scheduling/speeds.py
@@ -61,23 +61,23 @@
 
         An agent that has restarted learns its worker's speed anew, while the worker lives on.
         """
-        view.told_speed = self._kept.pop(view.name, None)
-        view.kind_slowness = self._get_told(view) or self._guess(view)
+        view.reported_speed = self._kept.pop(view.name, None)
+        view.baseline_slowness = self._get_told(view) or self._guess(view)
 
     def note_lost(self, view: WorkerView) -> None:
         """Keep what was told of a worker that is out of reach: it may be its agent or link only."""
-        if view.told_speed is None:
+        if view.reported_speed is None:
             return
-        self._kept[view.name] = view.told_speed
+        self._kept[view.name] = view.reported_speed
         if len(self._kept) > MOST_KEPT:
             del self._kept[next(iter(self._kept))]
 
-    def note_told(self, view: WorkerView, speed: WorkerSpeed) -> None:
+    def note_reported(self, view: WorkerView, speed: WorkerSpeed) -> None:
         """Take in an agent's word, unless it can't be true."""
         if not is_plausible(speed):
             return
-        view.told_speed = speed
-        view.kind_slowness = self._get_told(view)
+        view.reported_speed = speed
+        view.baseline_slowness = self._get_told(view)
         self._is_due = True
 
     def refresh(self, *, now: float) -> None:
@@ -89,13 +89,13 @@
         self._learn_middles()
         self._learn_labels()
         for view in self._workers.values():
-            view.kind_slowness = self._get_told(view) or self._guess(view)
+            view.baseline_slowness = self._get_told(view) or self._guess(view)
 
     def _learn_middles(self) -> None:
         told: dict[str, list[float]] = {}
         for view in self._workers.values():
-            if view.told_speed is not None:
-                told.setdefault(view.service, []).append(view.told_speed.slowness)
+            if view.reported_speed is not None:
+                told.setdefault(view.service, []).append(view.reported_speed.slowness)
         self._middles = {
             service: median_low(rows) for service, rows in told.items() if len(rows) >= LEAST_TOLD
         }
@@ -103,7 +103,7 @@
     def _learn_labels(self) -> None:
         holders: dict[tuple[str, str], list[WorkerView]] = {}
         for view in self._workers.values():
-            if view.told_speed is not None:
+            if view.reported_speed is not None:
                 for label in view.labels:
                     holders.setdefault((view.service, label), []).append(view)
         self._by_label = {
@@ -129,9 +129,9 @@
         A word alone means nothing: owners' run times and words taken as they are drift apart.
         """
         middle = self._middles.get(view.service)
-        if view.told_speed is None or middle is None:
+        if view.reported_speed is None or middle is None:
             return None
-        return view.told_speed.slowness / middle
+        return view.reported_speed.slowness / middle
 
     def _guess(self, view: WorkerView) -> float | None:
         """Return what a worker's labels show; the one that is farthest from usual decides."""
--- a/dalemast/core/scheduling/workers.py
+++ b/dalemast/core/scheduling/workers.py
@@ -8,7 +8,7 @@
 from dalemast.core.scheduling.load import ComingRoom, WorkerSpeed
 from dalemast.core.workloads import Resources
 
-__all__ = ["RoomReport", "SlowRun", "WorkerView"]
+__all__ = ["CapacityReport", "SlowRun", "WorkerView"]
 
 SPEED_LEARNING_RATE = 0.1
 """Weight of the newest task in a worker's slowness: about the last ten tasks count."""
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RoomReport:
+class CapacityReport:
     """An agent's word on its worker.
 
     ``seen`` is the number of the last start of this owner that ``free`` takes account of.
@@ -51,7 +51,7 @@
     """An agent's word on a run that crawls or stands still. Times are seconds.
 
     ``total_s`` is its whole run time at its pace so far; ``worker_pace`` is how slow the jobs
-    on the worker show it to be for sure, as in :class:`RoomReport`, or 0 if there are too few.
+    on the worker show it to be for sure, as in :class:`CapacityReport`, or 0 if there are too few.
     """
 
     age_s: float
@@ -70,14 +70,14 @@
         service: str,
         capacity: Resources,
         labels: frozenset[str],
-        is_near: bool,
+        is_same_data_centre: bool,
         data_centre: str = "",
     ) -> None:
         self._name = name
         self._service = service
         self._capacity = capacity
         self._labels = labels
-        self._is_near = is_near
+        self._is_same_data_centre = is_same_data_centre
         self._data_centre = data_centre
         self.is_evacuated = False
         """Whether nothing may be started in its data centre; its agent may not know yet."""
@@ -88,13 +88,13 @@
         self._slowness = 1.0
         self._learned_at = 0.0
         self._failed_share = 0.0
-        self.coming: tuple[ComingRoom, ...] = ()
+        self.releases: tuple[ComingRoom, ...] = ()
         """Room that comes free, by the agent's last word, soonest first."""
-        self.coming_told_at = 0.0
+        self.releases_reported_at = 0.0
         """When that was told, by the owner's steady clock."""
-        self.told_speed: WorkerSpeed | None = None
+        self.reported_speed: WorkerSpeed | None = None
         """What its agent has learned of its speed."""
-        self.kind_slowness: float | None = None
+        self.baseline_slowness: float | None = None
         """How slow it is for good, over the middle worker of its service, if that is known. What
         this owner sees beyond it is in passing, and fades."""
         self.leaves_at: float | None = None
@@ -121,9 +121,9 @@
         return self._labels
 
     @property
-    def is_near(self) -> bool:
+    def is_same_data_centre(self) -> bool:
         """Whether it is in the owner's data centre."""
-        return self._is_near
+        return self._is_same_data_centre
 
     @property
     def data_centre(self) -> str:
@@ -156,7 +156,7 @@
             return 0.0
         return 1.0 - self._free.cpu / self._capacity.cpu
 
-    def take(self, resources: Resources, *, number: int) -> None:
+    def reserve(self, resources: Resources, *, number: int) -> None:
         """Count a start that is being sent; numbers rise from start to start."""
         self._sent[number] = resources
         self._free -= resources
@@ -165,7 +165,7 @@
         """Return how old the last report is; 0 before the first."""
         return 0.0 if self._reported_at is None else now - self._reported_at
 
-    def update(self, report: RoomReport, *, now: float) -> None:
+    def update(self, report: CapacityReport, *, now: float) -> None:
         """Take in a report."""
         self._reported_at = now
         self._is_accepting = report.is_accepting
@@ -180,23 +180,23 @@
         self._free += capacity - self._capacity
         self._capacity = capacity
 
-    def set_coming(self, rows: tuple[ComingRoom, ...], *, now: float) -> None:
+    def set_releases(self, rows: tuple[ComingRoom, ...], *, now: float) -> None:
         """Take in an agent's word on room that comes free; one that can't be true says nothing."""
-        self.coming = rows if is_coming_sound(rows) else ()
-        self.coming_told_at = now
+        self.releases = rows if is_coming_sound(rows) else ()
+        self.releases_reported_at = now
 
-    def get_coming(self, now: float) -> tuple[ComingRoom, ...]:
+    def get_releases(self, now: float) -> tuple[ComingRoom, ...]:
         """Return the room that still comes free, counted from now; none if it takes no starts."""
         if not self.is_accepting:
             return ()
         most_cpu = self._capacity.cpu - max(self._free.cpu, 0)
-        return age_coming(self.coming, age_s=now - self.coming_told_at, most_cpu=most_cpu)
+        return age_coming(self.releases, age_s=now - self.releases_reported_at, most_cpu=most_cpu)
 
     def suspend(self) -> None:
         """Send it nothing until the next report."""
         self._is_accepting = False
 
-    def learn_end(self, *, is_failure: bool) -> None:
+    def record_outcome(self, *, is_failure: bool) -> None:
         """Take in that a task failed or ended well there."""
         newest = 1.0 if is_failure else 0.0
         self._failed_share += FAILURE_WEIGHT * (newest - self._failed_share)
@@ -206,8 +206,8 @@
     ) -> None:
         """Take in one task's run time over the expected one, or with more weight several tasks'."""
         lowest, highest = SLOWNESS_RANGE
-        if self.kind_slowness is not None and weight <= SPEED_LEARNING_RATE:
-            highest = MOST_BY_ONE * self.kind_slowness
+        if self.baseline_slowness is not None and weight <= SPEED_LEARNING_RATE:
+            highest = MOST_BY_ONE * self.baseline_slowness
         ratio = min(max(ratio, lowest), highest)
         slowness = self._get_seen_slowness(now)
         self._slowness = slowness + weight * (ratio - slowness)
@@ -216,9 +216,9 @@
     def get_slowness(self, now: float) -> float:
         """Return its run times over the usual ones: 1 is usual, 2 takes twice as long."""
         seen = self._get_seen_slowness(now)
-        if self.kind_slowness is None or self.has_turned_slow(now):
+        if self.baseline_slowness is None or self.has_turned_slow(now):
             return seen
-        return self.kind_slowness
+        return self.baseline_slowness
 
     def has_turned_slow(self, now: float) -> bool:
         """Tell whether this owner has seen lately that it is slower than its kind."""
@@ -227,7 +227,7 @@
     @property
     def _lasting_bound(self) -> float:
         """Up to which slowness it may simply be of its kind, and above which it turned slow."""
-        return USUAL_SLOWNESS * (self.kind_slowness or 1.0)
+        return USUAL_SLOWNESS * (self.baseline_slowness or 1.0)
 
     def _get_seen_slowness(self, now: float) -> float:
         """Return what this owner has seen by itself, of which too much fades."""
--- a/dalemast/core/supervision/base.py
+++ b/dalemast/core/supervision/base.py
@@ -41,8 +41,8 @@
     """An owner's wish to start a task. ``number`` counts that owner's starts.
 
     ``said_at`` is when the owner said so at the earliest, by the agent's steady clock in seconds.
-    ``priority`` is the job's, and 0 the most urgent. ``spare_s`` is for how long after ``said_at``
-    the task could begin anew and its job be on time; None if it must not be preempted.
+    ``priority`` is the job's, and 0 the most urgent. ``restart_slack_s`` is for how long after
+    ``said_at`` the task could begin anew and its job be on time; None if it must not be preempted.
     """
 
     owner: str
@@ -53,7 +53,7 @@
     number: int
     said_at: float
     priority: int = 0
-    spare_s: float | None = None
+    restart_slack_s: float | None = None
 
     def is_same(self, other: StartRequest) -> bool:
         """Tell whether both are one wish of one owner, and not those of two submissions."""
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -103,9 +103,9 @@
         request = run.request
         if run.phase is not RunPhase.RUNNING or run.is_order_open or not run.was_listed:
             return False
-        if request.spare_s is None or request.priority < preempts_from:
+        if request.restart_slack_s is None or request.priority < preempts_from:
             return False
-        if not now + self.stop_s <= request.said_at + request.spare_s:
+        if not now + self.stop_s <= request.said_at + request.restart_slack_s:
             return False
         age_s = now - run.started_at
         total_s = _get_total_s(run)
--- a/dalemast/emulator/simulation.py
+++ b/dalemast/emulator/simulation.py
@@ -15,12 +15,12 @@
 from dalemast.core.scheduling import (
     NOTHING_ASKED,
     AskRoom,
+    CapacityReport,
     EndReason,
     FastestPlacement,
     JobFinished,
     JobRefused,
     LoadPolicy,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     StartTask,
@@ -224,7 +224,7 @@
             match action:
                 case StartTask():
                     agent = self._agents[get_number(action.worker)]
-                    want = self._owners[owner].get_want(action.worker)
+                    want = self._owners[owner].get_capacity_request(action.worker)
                     self.at(
                         self._now + self.shape.message_s,
                         lambda agent=agent, start=action, want=want: agent.take(owner, start, want),
@@ -307,7 +307,7 @@
                 service="floor",
                 capacity=self._capacity,
                 labels=frozenset(),
-                is_near=self._is_near(owner),
+                is_same_data_centre=self._is_near(owner),
             )
             self._simulation.add_view(owner, view)
         for audience in self._audiences:
@@ -339,7 +339,7 @@
             number=start.number,
             said_at=self._simulation.now,
             priority=start.job.queue.priority,
-            spare_s=start.spare_s,
+            restart_slack_s=start.restart_slack_s,
         )
         self._apply(self._supervisor.start(request, now=self._simulation.now))
 
@@ -488,7 +488,7 @@
             self._simulation.reports += 1
             if self._simulation.shape.policy.shares_demand and not audience.is_content:
                 self._tell_coming(owner)
-            report = RoomReport(
+            report = CapacityReport(
                 seen=self._seen[owner],
                 free=self._supervisor.get_free_for(str(owner)),
                 is_accepting=self._is_up and self._supervisor.is_accepting(now=now),
@@ -516,7 +516,7 @@
         """Tell an owner that lacks room when some comes free."""
         rows, life = self._supervisor.get_coming(now=self._simulation.now), self._name
         self._simulation.note(
-            owner, lambda s: s.note_coming_room(life, rows, now=self._simulation.now)
+            owner, lambda s: s.note_capacity_releases(life, rows, now=self._simulation.now)
         )
 
     def _tick(self) -> None:
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -331,7 +331,7 @@
                     number=row.number,
                     said_at=session.said_at,
                     priority=starts.priority,
-                    spare_s=None if row.spare_s < 0 else row.spare_s,
+                    restart_slack_s=None if row.restart_slack_s < 0 else row.restart_slack_s,
                 )
             )
 
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -10,10 +10,10 @@
 from dalemast.core.scheduling import (
     Action,
     AskRoom,
+    CapacityReport,
     ComingRoom,
     CutShort,
     EndReason,
-    RoomReport,
     Scheduler,
     SlowRun,
     StartTask,
@@ -146,7 +146,7 @@
             session = self._by_worker.get(worker)
             if session is not None:
                 self._mark_active(session)
-                session.link.send(make_starts(group, self._scheduler.get_want(worker)))
+                session.link.send(make_starts(group, self._scheduler.get_capacity_request(worker)))
         for stop in stops:
             session = self._by_worker.get(stop.worker)
             if session is not None:
@@ -290,7 +290,7 @@
             capacity=capacity,
             labels=frozenset(news.labels),
             data_centre=hello.data_centre,
-            is_near=hello.data_centre == self._member.data_centre,
+            is_same_data_centre=hello.data_centre == self._member.data_centre,
         )
         session.worker = news.id
         self._by_worker[news.id] = session
@@ -316,7 +316,7 @@
             self._apply(self._scheduler.lose_worker(worker, now=clock.monotonic()))
 
     def _update_room(self, session: AgentSession, news: RoomNews) -> None:
-        report = RoomReport(
+        report = CapacityReport(
             seen=news.seen,
             free=Resources(cpu=news.cpu, memory_mb=news.memory_mb, gpu=news.gpu),
             is_accepting=news.is_accepting,
@@ -327,14 +327,14 @@
 
     def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
         rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
-        self._scheduler.note_coming_room(session.worker, rows, now=clock.monotonic())
+        self._scheduler.note_capacity_releases(session.worker, rows, now=clock.monotonic())
 
     def _note_leaving(self, session: AgentSession, news: WorkerLeaving) -> None:
         if not session.worker:
             return
         in_s = None if news.in_s < 0 else news.in_s
         log_event("worker:leaving", worker=session.worker, leaves_in_s=in_s)
-        self._scheduler.note_leaving(session.worker, in_s, now=clock.monotonic())
+        self._scheduler.note_departure(session.worker, in_s, now=clock.monotonic())
 
     def _note_speed(self, session: AgentSession, news: WorkerPace) -> None:
         speed = WorkerSpeed(slowness=news.slowness, runs=news.runs)
@@ -345,14 +345,14 @@
             worker=session.worker,
             told=news.slowness,
             runs=news.runs,
-            believed=view.kind_slowness if view else None,
+            believed=view.baseline_slowness if view else None,
         )
 
     def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
         row = news.run
         report = CutShort(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
         key = TaskKey(row.step, row.position)
-        actions = self._scheduler.note_cut_short(
+        actions = self._scheduler.note_departure_risk(
             session.worker, row.job, key, row.run, report, now=clock.monotonic()
         )
         self._apply(actions)
@@ -378,8 +378,8 @@
             news.worker,
             read_crashed(news),
             now=clock.monotonic(),
-            is_seen=news.is_seen,
-            is_hearsay=is_hearsay,
+            is_observed=news.is_seen,
+            is_relayed=is_hearsay,
         )
         self._apply(actions)
 
@@ -418,7 +418,7 @@
         )
         key = TaskKey(row.step, row.position)
         now = clock.monotonic()
-        actions = self._scheduler.report_slow(
+        actions = self._scheduler.handle_slow_run(
             session.worker, row.job, key, row.run, report, now=now
         )
         if actions:
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -244,9 +244,10 @@
                     "leaves_in_s": _count_down(view.leaves_at),
                     "slowness": round(view.get_slowness(clock.monotonic()), 3),
                     "coming": [
-                        (round(row.in_s, 3), row.cpu) for row in view.get_coming(clock.monotonic())
+                        (round(row.in_s, 3), row.cpu)
+                        for row in view.get_releases(clock.monotonic())
                     ],
-                    "kind_slowness": view.kind_slowness,
+                    "kind_slowness": view.baseline_slowness,
                 }
                 for view in self._scheduler.workers.values()
             },
@@ -257,7 +258,7 @@
         if self._draining_since is None:
             return True
         left_s = self._draining_since + self._get_drain_s() - clock.monotonic()
-        return self._scheduler.expect_s(request) <= left_s
+        return self._scheduler.estimate_completion_s(request) <= left_s
 
     def _spare_evacuated(self, evacuations: Evacuations) -> None:
         """Start nothing in evacuated data centres, and use those that were taken back."""
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -147,7 +147,8 @@
 class StartRow(Message, frozen=True):
     """One task to start; ``number`` counts the entry's starts.
 
-    ``spare_s`` is as in :class:`dalemast.core.scheduling.StartTask`; negative if there is none.
+    ``restart_slack_s`` is as in :class:`dalemast.core.scheduling.StartTask`; negative if there is
+    none.
     """
 
     step: int
@@ -158,7 +159,7 @@
     gpu: int
     expected_s: float
     number: int
-    spare_s: float = -1.0
+    restart_slack_s: float = -1.0
 
 
 class WantRow(Message, frozen=True):
@@ -235,7 +236,7 @@
 
 
 class RoomNews(Message, frozen=True, tag="R"):
-    """What is free, having seen this owner's start ``seen``; as in ``RoomReport``."""
+    """What is free, having seen this owner's start ``seen``; as in ``CapacityReport``."""
 
     seen: int
     cpu: int
--- a/tests/core/scheduling/base.py
+++ b/tests/core/scheduling/base.py
@@ -6,13 +6,13 @@
 
 from dalemast.core.scheduling import (
     Action,
+    CapacityReport,
     EndReason,
     FastestPlacement,
     JobFinished,
     JobRefused,
     LeastSlackOrder,
     LoadPolicy,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     StartTask,
@@ -71,7 +71,7 @@
         cpu: int = 4000,
         labels: tuple[str, ...] = (),
         service: str = "floor",
-        is_near: bool = True,
+        is_same_data_centre: bool = True,
         now: float = 10.0,
     ) -> list[Action]:
         capacity = Resources(cpu=cpu, memory_mb=65536)
@@ -81,11 +81,11 @@
                 service=service,
                 capacity=capacity,
                 labels=frozenset(labels),
-                is_near=is_near,
+                is_same_data_centre=is_same_data_centre,
             ),
             now=now,
         )
-        report = RoomReport(seen=0, free=capacity, is_accepting=True)
+        report = CapacityReport(seen=0, free=capacity, is_accepting=True)
         return self.scheduler.update_worker(name, report, now=now)
 
     def end(self, start: StartTask, reason: EndReason, now: float = 10.1) -> list[Action]:
--- a/tests/core/scheduling/test_absurd_times.py
+++ b/tests/core/scheduling/test_absurd_times.py
@@ -50,6 +50,6 @@
         for number, run_s in enumerate((*ABSURD, 1e300, 1e6)):
             self.end(f"j{number}", run_s=run_s, now=NOW + number)
         self.assertAlmostEqual(
-            RUN_S, self.scheduler.expect_s(make_job("next")) / (1 + START_MARGIN)
+            RUN_S, self.scheduler.estimate_completion_s(make_job("next")) / (1 + START_MARGIN)
         )
         self.assertAlmostEqual(1.0, self.scheduler.workers["w1"].get_slowness(NOW + 9.0))
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -9,11 +9,11 @@
 
 from dalemast.core.scheduling import (
     BalancedPlacement,
+    CapacityReport,
     EndReason,
     LoadPolicy,
     LoadWord,
     PriorityOrder,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     StartTask,
@@ -73,7 +73,7 @@
             service="floor",
             capacity=Resources(cpu=FULL, memory_mb=65536),
             labels=frozenset({f"rack-{name}"}),
-            is_near=place == NEAR,
+            is_same_data_centre=place == NEAR,
             data_centre=place,
         )
         self.scheduler.add_worker(view, now=10.0)
@@ -81,7 +81,7 @@
 
     def report(self, name: str, cpu: int, *, now: float = 10.0) -> list:
         free = Resources(cpu=cpu, memory_mb=65536)
-        report = RoomReport(seen=10**6, free=free, is_accepting=True)
+        report = CapacityReport(seen=10**6, free=free, is_accepting=True)
         return self.scheduler.update_worker(name, report, now=now)
 
     def set_room(self, now: float = 10.0, **cores: int) -> None:
--- a/tests/core/scheduling/test_choices.py
+++ b/tests/core/scheduling/test_choices.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from dalemast.core.scheduling import FastestPlacement, RoomReport, WorkerView
+from dalemast.core.scheduling import CapacityReport, FastestPlacement, WorkerView
 from dalemast.core.scheduling.choices import ChoiceRound
 from dalemast.core.scheduling.jobs import Job
 from dalemast.core.workloads import Resources, TaskKey
@@ -16,9 +16,9 @@
 def make_view(name: str, *, cpu: int, slowness: float = 1.0) -> WorkerView:
     capacity = Resources(cpu=cpu, memory_mb=65536)
     view = WorkerView(
-        name=name, service="floor", capacity=capacity, labels=frozenset(), is_near=True
+        name=name, service="floor", capacity=capacity, labels=frozenset(), is_same_data_centre=True
     )
-    view.update(RoomReport(seen=0, free=capacity, is_accepting=True), now=0.0)
+    view.update(CapacityReport(seen=0, free=capacity, is_accepting=True), now=0.0)
     view.learn_slowness(slowness, now=NOW, weight=1.0)
     return view
 
@@ -55,7 +55,7 @@
         choices = make_round(view)
         self.assertEqual(1500, choices.get_most_free("floor"))
         self.assertIs(view, choices.choose(self.job, self.task))
-        view.take(self.task.step.resources, number=1)
+        view.reserve(self.task.step.resources, number=1)
         choices.note_start("floor")
         self.assertEqual(500, choices.get_most_free("floor"))
         self.assertIsNone(choices.choose(self.job, self.task))
@@ -68,7 +68,7 @@
         scatter = (0.6, 0.8, 0.9, 1.0, 1.0, 1.1, 1.2, 1.3, 1.4)
         views = [make_view(f"w{n}", cpu=500, slowness=pace) for n, pace in enumerate(scatter)]
         views[-1].update(
-            RoomReport(seen=0, free=Resources(cpu=9000, memory_mb=9000), is_accepting=True),
+            CapacityReport(seen=0, free=Resources(cpu=9000, memory_mb=9000), is_accepting=True),
             now=NOW,
         )
         self.assertIs(views[-1], make_round(*views).choose(self.job, self.task))
@@ -86,8 +86,8 @@
     def setUp(self) -> None:
         super().setUp()
         self.failing = make_view("failing", cpu=9000)
-        self.failing.learn_end(is_failure=True)
-        self.failing.learn_end(is_failure=False)
+        self.failing.record_outcome(is_failure=True)
+        self.failing.record_outcome(is_failure=False)
         self.sound = make_view("sound", cpu=9000, slowness=1.3)
 
     def fail_task(self) -> None:
@@ -106,7 +106,7 @@
     def test_it_waits_for_one_that_is_full(self) -> None:
         self.fail_task()
         choices = make_round(self.failing, make_view("full", cpu=9000))
-        choices._workers["full"].take(Resources(cpu=9000), number=1)
+        choices._workers["full"].reserve(Resources(cpu=9000), number=1)
         self.assertIsNone(choices.choose(self.job, self.task))
 
     def test_it_does_not_wait_when_all_fail(self) -> None:
@@ -114,6 +114,6 @@
         self.assertIs(self.failing, make_round(self.failing).choose(self.job, self.task))
 
     def test_two_tasks_that_end_well_clear_a_worker(self) -> None:
-        self.failing.learn_end(is_failure=False)
-        self.failing.learn_end(is_failure=False)
+        self.failing.record_outcome(is_failure=False)
+        self.failing.record_outcome(is_failure=False)
         self.assertFalse(self.failing.is_suspect)
--- a/tests/core/scheduling/test_coming.py
+++ b/tests/core/scheduling/test_coming.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from dalemast.core.scheduling import ComingRoom, RoomReport, WorkerView
+from dalemast.core.scheduling import CapacityReport, ComingRoom, WorkerView
 from dalemast.core.scheduling.coming import OVERDUE_S
 from dalemast.core.workloads import Resources
 
@@ -26,18 +26,18 @@
             service="floor",
             capacity=Resources(cpu=4000, memory_mb=100),
             labels=frozenset(),
-            is_near=True,
+            is_same_data_centre=True,
         )
         self.report(free=FULL)
 
     def report(self, *, free: Resources, is_accepting: bool = True) -> None:
-        self.view.update(RoomReport(seen=0, free=free, is_accepting=is_accepting), now=NOW)
+        self.view.update(CapacityReport(seen=0, free=free, is_accepting=is_accepting), now=NOW)
 
     def take(self, *rows: tuple[float, int]) -> None:
-        self.view.set_coming(make_rows(*rows), now=NOW)
+        self.view.set_releases(make_rows(*rows), now=NOW)
 
     def get(self, later_s: float = 0.0) -> list[tuple[float, int]]:
-        return [(round(row.in_s, 3), row.cpu) for row in self.view.get_coming(NOW + later_s)]
+        return [(round(row.in_s, 3), row.cpu) for row in self.view.get_releases(NOW + later_s)]
 
     def test_steps_come_nearer_as_the_word_ages(self) -> None:
         self.take((0.5, 1000), (1.8, 2000))
--- a/tests/core/scheduling/test_crashes.py
+++ b/tests/core/scheduling/test_crashes.py
@@ -8,13 +8,13 @@
 
 from dalemast.core.scheduling import (
     Action,
+    CapacityReport,
     Crash,
     CrashedTask,
     EndReason,
     FastestPlacement,
     JobState,
     LeastSlackOrder,
-    RoomReport,
     RunPresumedOver,
     Scheduler,
     SchedulerLimits,
@@ -245,7 +245,7 @@
         self.add_workers(2)
         (start,) = get_starts(self.submit("a"))
         row = CrashedTask(job_id="a", task=start.task, age_s=None)
-        told = {"now": 10.1, "is_seen": False, "is_hearsay": True}
+        told = {"now": 10.1, "is_observed": False, "is_relayed": True}
         self.assertEqual([], self.scheduler.note_crash(start.worker, [row], **told))
         self.assertEqual({start.worker}, self.scheduler.get_busy_workers())
 
@@ -328,7 +328,9 @@
         self.add_worker("w1")
         self.scheduler.submit(make_job("a"), now=10.0)
         self.scheduler.abandon("a", now=11.0)
-        report = RoomReport(seen=1, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
+        report = CapacityReport(
+            seen=1, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True
+        )
         self.scheduler.update_worker("w1", report, now=11.1)
         self.assertEqual({}, self.scheduler.list_crashes())
 
@@ -340,12 +342,12 @@
     def test_an_owner_that_began_anew_goes_on_from_what_its_peers_know(self) -> None:
         row = CrashedTask(job_id="a", task=TASK, age_s=None)
         for number in range(MOST_ENDS):
-            self.scheduler.note_crash(f"w{number}", [row], now=9.0, is_seen=False)
+            self.scheduler.note_crash(f"w{number}", [row], now=9.0, is_observed=False)
         told = self.scheduler.list_crashes()
         self.make_owner()
         for end, rows in told.items():
             self.scheduler.note_crash(
-                end.life, rows, now=10.0, is_seen=end.is_seen, is_hearsay=True
+                end.life, rows, now=10.0, is_observed=end.is_seen, is_relayed=True
             )
         actions = self.scheduler.submit(make_job("a"), now=10.0)
         self.assertEqual([], get_starts(actions))
@@ -356,7 +358,7 @@
         seen = CrashedTask(job_id="a", task=TASK, age_s=0.03)
         late = CrashedTask(job_id="b", task=TASK, age_s=0.5, has_begun=False)
         self.scheduler.note_crash("w1", [seen, late], now=9.0)
-        self.scheduler.note_crash("w2", [seen], now=9.0, is_seen=False)
+        self.scheduler.note_crash("w2", [seen], now=9.0, is_observed=False)
         told = self.scheduler.list_crashes().items()
         rows_by_end = {(end.life, end.is_seen): rows for end, rows in told}
         self.assertEqual({("w1", True): [late, seen], ("w2", False): [seen]}, rows_by_end)
--- a/tests/core/scheduling/test_departures.py
+++ b/tests/core/scheduling/test_departures.py
@@ -9,12 +9,12 @@
 
 from dalemast.core.scheduling import (
     Action,
+    CapacityReport,
     CutShort,
     EndReason,
     FastestPlacement,
     LoadPolicy,
     PriorityOrder,
-    RoomReport,
     RunMoved,
     Scheduler,
     SchedulerLimits,
@@ -54,7 +54,7 @@
     def report(self, name: str, cpu: int, *, now: float, is_accepting: bool = True) -> list[Action]:
         """Report so much free room, after all starts so far."""
         free = Resources(cpu=cpu, memory_mb=65536)
-        report = RoomReport(seen=1000, free=free, is_accepting=is_accepting)
+        report = CapacityReport(seen=1000, free=free, is_accepting=is_accepting)
         return self.scheduler.update_worker(name, report, now=now)
 
     def begin(self, job_id: str = "a", *, count: int = 1, now: float = 10.0) -> list[StartTask]:
@@ -62,14 +62,14 @@
         return get_starts(self.scheduler.submit(job, now=now))
 
     def leave(self, name: str = "w1", *, now: float, in_s: float = NOTICE_S) -> None:
-        self.scheduler.note_leaving(name, in_s, now=now)
+        self.scheduler.note_departure(name, in_s, now=now)
         self.report(name, 3000, now=now, is_accepting=False)
 
     def cut(
         self, start: StartTask, *, left_s: float, now: float, leaves_in_s: float = NOTICE_S
     ) -> list[Action]:
         report = CutShort(left_s=left_s, leaves_in_s=leaves_in_s)
-        return self.scheduler.note_cut_short(
+        return self.scheduler.note_departure_risk(
             start.worker, start.job.id, start.task, start.run, report, now=now
         )
 
@@ -148,7 +148,7 @@
     def test_a_worker_that_lingers_keeps_what_it_runs(self) -> None:
         (start,) = self.begin_on_leaving(room=0)
         self.cut(start, left_s=3.7, now=10.3)
-        self.scheduler.note_leaving("w1", 0.0, now=12.5)
+        self.scheduler.note_departure("w1", 0.0, now=12.5)
         self.assertEqual([], get_stops(self.report("w2", 4000, now=12.6)))
         self.assertEqual([], get_stops(self.scheduler.tick(now=13.5)))
 
@@ -228,7 +228,7 @@
     def test_a_notice_that_is_taken_back_moves_nothing(self) -> None:
         (start,) = self.begin_on_leaving(room=0)
         self.cut(start, left_s=3.7, now=10.3)
-        self.scheduler.note_leaving("w1", None, now=10.5)
+        self.scheduler.note_departure("w1", None, now=10.5)
         self.assertEqual([], get_stops(self.report("w2", 4000, now=10.6)))
         self.assertIsNone(self.scheduler.workers["w1"].leaves_at)
 
@@ -241,7 +241,7 @@
     def test_a_notice_that_becomes_longer_counts(self) -> None:
         (start,) = self.begin_on_leaving(room=0)
         self.cut(start, left_s=3.7, now=10.3)
-        self.scheduler.note_leaving("w1", 3.6, now=10.5)
+        self.scheduler.note_departure("w1", 3.6, now=10.5)
         self.assertEqual([], get_stops(self.report("w2", 4000, now=10.6)))
 
     def test_a_worker_that_takes_starts_all_the_same_is_not_elsewhere(self) -> None:
@@ -255,13 +255,13 @@
         for told_s in ABSURD_S:
             self.assertEqual([], self.cut(start, left_s=told_s, now=10.3))
             self.assertEqual([], self.cut(start, left_s=3.7, leaves_in_s=told_s, now=10.3))
-            self.scheduler.note_leaving("w1", told_s, now=10.3)
+            self.scheduler.note_departure("w1", told_s, now=10.3)
             self.assertEqual(leaves_at, self.scheduler.workers["w1"].leaves_at)
         self.assertEqual([], get_stops(self.scheduler.tick(now=10.4)))
 
     def test_words_on_unknown_workers_and_runs_change_nothing(self) -> None:
         (start,) = self.begin_on_leaving()
-        self.scheduler.note_leaving("w9", NOTICE_S, now=10.3)
+        self.scheduler.note_departure("w9", NOTICE_S, now=10.3)
         for foreign in (replace(start, worker="w9"), replace(start, task=TaskKey(3, 9))):
             self.assertEqual([], self.cut(foreign, left_s=3.7, now=10.3))
 
--- a/tests/core/scheduling/test_evacuations.py
+++ b/tests/core/scheduling/test_evacuations.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from dalemast.core.scheduling import (
+    CapacityReport,
     EndReason,
     JobRefused,
-    RoomReport,
     StartTask,
     StopTask,
     WorkerView,
@@ -24,14 +24,14 @@
             service="floor",
             capacity=CAPACITY,
             labels=frozenset({data_centre}),
-            is_near=True,
+            is_same_data_centre=True,
             data_centre=data_centre,
         )
         self.scheduler.add_worker(view, now=now)
         self.report_room(data_centre, now=now)
 
     def report_room(self, worker: str, *, now: float) -> list:
-        report = RoomReport(seen=0, free=CAPACITY, is_accepting=True)
+        report = CapacityReport(seen=0, free=CAPACITY, is_accepting=True)
         return self.scheduler.update_worker(worker, report, now=now)
 
     def get_started(self, actions: list) -> list[str]:
--- a/tests/core/scheduling/test_forecast_properties.py
+++ b/tests/core/scheduling/test_forecast_properties.py
@@ -46,7 +46,7 @@
         lowest, highest = RETRY_AFTER_S
         assert lowest <= refused.retry_after_s <= highest
         arrived_at = self.now - refused.waited_s
-        chain_s = self.scheduler.expect_s(refused.job) / (1.0 + START_MARGIN)
+        chain_s = self.scheduler.estimate_completion_s(refused.job) / (1.0 + START_MARGIN)
         objective_s = make_queue().get_objective_s(chain_s)
         left_s = arrived_at + LATE_FACTOR * objective_s - self.now
         needed = refused.job.steps[0].resources
@@ -57,7 +57,7 @@
 
     @rule(name=st.sampled_from(WORKERS), rows=st.lists(COMING, max_size=5))
     def tell_coming(self, name: str, rows: list[ComingRoom]) -> None:
-        self.scheduler.note_coming_room(name, tuple(rows), now=self.now)
+        self.scheduler.note_capacity_releases(name, tuple(rows), now=self.now)
 
     @rule(core_s=ANY_NUMBER)
     def tell_demand(self, core_s: float) -> None:
--- a/tests/core/scheduling/test_forecasts.py
+++ b/tests/core/scheduling/test_forecasts.py
@@ -5,12 +5,12 @@
 import math
 
 from dalemast.core.scheduling import (
+    CapacityReport,
     ComingRoom,
     EndReason,
     JobRefused,
     LoadPolicy,
     PriorityOrder,
-    RoomReport,
     WorkerView,
 )
 from dalemast.core.scheduling.crashes import CrashedTask
@@ -79,13 +79,13 @@
         self, name: str, *, in_s: float, told_at: float = NOW, is_told: bool = True
     ) -> None:
         full = Resources(cpu=0, memory_mb=65536)
-        report = RoomReport(seen=0, free=full, is_accepting=True)
+        report = CapacityReport(seen=0, free=full, is_accepting=True)
         self.scheduler.update_worker(name, report, now=told_at)
         if is_told:
             self.tell(name, ComingRoom(in_s=in_s, cpu=4000), told_at=told_at)
 
     def tell(self, name: str, *rows: ComingRoom, told_at: float = NOW) -> None:
-        self.scheduler.note_coming_room(name, rows, now=told_at)
+        self.scheduler.note_capacity_releases(name, rows, now=told_at)
 
     def arrive(self, job: JobRequest, *, now: float = NOW) -> JobRefused | None:
         """Return the refusal of a job as it arrives, or None if it is kept."""
@@ -107,7 +107,7 @@
         self.fill()
         self.fill_worker("w3", in_s=0.03)
         self.assertIsNone(self.arrive(make_urgent("a")))
-        room = RoomReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
+        room = CapacityReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
         (start,) = get_starts(self.scheduler.update_worker("w3", room, now=NOW + 0.03))
         self.assertEqual("a", start.job.id)
 
@@ -289,7 +289,7 @@
     def test_room_that_comes_sooner_is_used_by_the_next(self) -> None:
         self.fill()
         self.assertIsNotNone(self.arrive(make_urgent("a")))
-        room = RoomReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
+        room = CapacityReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
         self.scheduler.update_worker("w0", room, now=NOW + 0.05)
         (start,) = get_starts(self.scheduler.submit(make_urgent("b"), now=NOW + 0.05))
         self.assertEqual("w0", start.worker)
@@ -312,7 +312,7 @@
             service="floor",
             capacity=Resources(cpu=4000, memory_mb=65536),
             labels=frozenset({"gpu"}),
-            is_near=True,
+            is_same_data_centre=True,
         )
         self.scheduler.add_worker(view, now=NOW - 1.0)
         self.scheduler.lose_worker("gone", now=NOW - 0.5)
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -114,7 +114,7 @@
         self.submit_long()
         self.submit_urgent()
         self.find_asked(now=10.03)
-        self.assertIsNone(self.scheduler.get_want("w1").preempts_from)
+        self.assertIsNone(self.scheduler.get_capacity_request("w1").preempts_from)
 
     def test_room_that_comes_free_goes_to_it_before_less_urgent_jobs_that_have_begun(self) -> None:
         first = get_starts(self.submit_long(count=WORKERS + 1))[0]
@@ -189,20 +189,20 @@
         starts = get_starts(self.submit_long())
         self.submit_urgent()
         self.assertEqual([], self.find_asked(now=10.03))
-        self.assertEqual({None}, {start.spare_s for start in starts})
+        self.assertEqual({None}, {start.restart_slack_s for start in starts})
 
 
 class GivingWayTests(PreemptionTestCase):
     def test_a_start_tells_for_how_long_it_may_begin_anew(self) -> None:
         start = get_starts(self.submit_long())[0]
         # On time within 1.6 times 1.8 s and 0.06 s, of which a quarter more than 1.8 s is run time.
-        self.assertAlmostEqual(2.94 - 1.25 * LONG_S - 0.06, start.spare_s)
+        self.assertAlmostEqual(2.94 - 1.25 * LONG_S - 0.06, start.restart_slack_s)
 
     def test_a_job_that_can_only_be_late_does_not_give_way(self) -> None:
         self.submit_long()
         self.submit_long("later", count=1)
         (start,) = get_starts(self.report_room(self.get_first_start(), now=10.7))
-        self.assertIsNone(start.spare_s)
+        self.assertIsNone(start.restart_slack_s)
 
     def get_first_start(self) -> StartTask:
         job = self.scheduler.open_jobs["long"]
@@ -216,7 +216,7 @@
         self.end(first, EndReason.PREEMPTED, now=10.1)
         (again,) = get_starts(self.report_room(first, now=10.15))
         self.assertEqual((first.task, 2), (again.task, again.run))
-        self.assertIsNone(again.spare_s, "a job gives way once")
+        self.assertIsNone(again.restart_slack_s, "a job gives way once")
 
     def test_it_is_no_failure_and_its_job_has_run(self) -> None:
         first = get_starts(self.submit_long(count=1))[0]
@@ -234,14 +234,14 @@
         starts = get_starts(self.submit_long(count=WORKERS + 1))
         self.end(starts[0], EndReason.PREEMPTED, now=10.1)
         further = get_starts(self.report_room(starts[0], now=10.11))
-        self.assertEqual({None}, {start.spare_s for start in further})
+        self.assertEqual({None}, {start.restart_slack_s for start in further})
 
     def test_one_whose_end_was_lost_with_a_link_does_not_give_way_again(self) -> None:
         first = get_starts(self.submit_long(count=1))[0]
         self.scheduler.lose_worker(first.worker, now=10.1)
         self.add_worker(first.worker, cpu=1000, now=10.2)
         (again,) = get_starts(self.scheduler.reconcile(first.worker, (), now=10.2))
-        self.assertIsNone(again.spare_s)
+        self.assertIsNone(again.restart_slack_s)
 
     def test_it_waits_until_its_end_is_sure_where_the_link_is_lost_between_stop_and_end(
         self,
@@ -250,12 +250,12 @@
         self.scheduler.lose_worker(first.worker, now=10.1)
         self.assertEqual([], get_starts(self.scheduler.tick(now=10.1 + LOST_RUN_S - 0.01)))
         (again,) = get_starts(self.scheduler.tick(now=10.1 + LOST_RUN_S + 0.01))
-        self.assertEqual((2, None), (again.run, again.spare_s))
+        self.assertEqual((2, None), (again.run, again.restart_slack_s))
 
     def test_one_whose_worker_crashed_as_it_was_stopped_does_not_give_way_again(self) -> None:
         first = get_starts(self.submit_long(count=1))[0]
         (again,) = get_starts(self.end(first, EndReason.CRASHED, now=10.1))
-        self.assertIsNone(again.spare_s)
+        self.assertIsNone(again.restart_slack_s)
 
     def test_an_end_that_is_told_twice_starts_nothing_twice(self) -> None:
         first = get_starts(self.submit_long(count=1))[0]
@@ -273,7 +273,7 @@
         """No message can tell a time without end; one that does ends its link."""
         queue = make_queue(name="endless", priority=2, stretch=inf)
         (start,) = get_starts(self.scheduler.submit(make_job("endless", queue=queue), now=10.0))
-        self.assertIsNone(start.spare_s)
+        self.assertIsNone(start.restart_slack_s)
 
 
 def _preempts(asked: AskRoom) -> bool:
--- a/tests/core/scheduling/test_properties.py
+++ b/tests/core/scheduling/test_properties.py
@@ -15,13 +15,13 @@
 
 from dalemast.core.scheduling import (
     Action,
+    CapacityReport,
     EndReason,
     FastestPlacement,
     JobFinished,
     JobRefused,
     LeastSlackOrder,
     LoadPolicy,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     SlowRun,
@@ -71,7 +71,7 @@
                 service="floor",
                 capacity=CAPACITY,
                 labels=frozenset(),
-                is_near=True,
+                is_same_data_centre=True,
             ),
             now=self.now,
         )
@@ -82,7 +82,7 @@
         for start in self.alive[name].values():
             free -= start.job.steps[start.task.step].resources
             seen = max(seen, start.number)
-        report = RoomReport(seen=seen, free=free, is_accepting=True)
+        report = CapacityReport(seen=seen, free=free, is_accepting=True)
         self.apply(self.scheduler.update_worker(name, report, now=self.now))
 
     def apply(self, actions: list[Action]) -> None:
@@ -154,7 +154,7 @@
             return
         report = SlowRun(age_s=1.0, total_s=50.0, worker_pace=9.0, is_stalled=True)
         self.apply(
-            self.scheduler.report_slow(
+            self.scheduler.handle_slow_run(
                 start.worker, start.job.id, start.task, start.run, report, now=self.now
             )
         )
--- a/tests/core/scheduling/test_refusals.py
+++ b/tests/core/scheduling/test_refusals.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import EndReason, LoadPolicy, RoomReport, WorkerView
+from dalemast.core.scheduling import CapacityReport, EndReason, LoadPolicy, WorkerView
 from dalemast.core.workloads import Resources
 from tests.core.scheduling.base import (
     SchedulerTestCase,
@@ -33,7 +33,12 @@
 
     def add_roomy(self, **fields: object) -> WorkerView:
         """Add the worker that shows room, known to take three times as long as the others."""
-        values = {"labels": frozenset(), "is_near": True, "data_centre": "north", **fields}
+        values = {
+            "labels": frozenset(),
+            "is_same_data_centre": True,
+            "data_centre": "north",
+            **fields,
+        }
         view = WorkerView(
             name="roomy",
             service="floor",
@@ -49,7 +54,7 @@
         self, name: str, *, free: int, is_accepting: bool = True, now: float = 10.0
     ) -> list[object]:
         room = Resources(cpu=free, memory_mb=65536)
-        report = RoomReport(seen=0, free=room, is_accepting=is_accepting)
+        report = CapacityReport(seen=0, free=room, is_accepting=is_accepting)
         return self.scheduler.update_worker(name, report, now=now)
 
     def submit(self, job_id: str = "a", **fields: object) -> list[object]:
--- a/tests/core/scheduling/test_room.py
+++ b/tests/core/scheduling/test_room.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import RoomReport
+from dalemast.core.scheduling import CapacityReport
 from dalemast.core.workloads import Resources
 from tests.core.scheduling.base import SchedulerTestCase, get_starts, make_job, make_step
 
 
-def make_report(cpu: int, *, seen: int) -> RoomReport:
+def make_report(cpu: int, *, seen: int) -> CapacityReport:
     free = Resources(cpu=cpu, memory_mb=1000)
-    return RoomReport(seen=seen, free=free, is_accepting=True)
+    return CapacityReport(seen=seen, free=free, is_accepting=True)
 
 
 class RoomTests(SchedulerTestCase):
--- a/tests/core/scheduling/test_rooms.py
+++ b/tests/core/scheduling/test_rooms.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from dalemast.core.scheduling import ComingRoom, RoomReport, WorkerView
+from dalemast.core.scheduling import CapacityReport, ComingRoom, WorkerView
 from dalemast.core.scheduling.rooms import (
     OwnRun,
     RoomStep,
@@ -26,12 +26,12 @@
         service="floor",
         capacity=Resources(cpu=CPU, memory_mb=65536),
         labels=frozenset(),
-        is_near=True,
+        is_same_data_centre=True,
     )
     room = Resources(cpu=free, memory_mb=65536)
-    view.update(RoomReport(seen=0, free=room, is_accepting=True), now=told_at)
-    view.coming = rows
-    view.coming_told_at = told_at
+    view.update(CapacityReport(seen=0, free=room, is_accepting=True), now=told_at)
+    view.releases = rows
+    view.releases_reported_at = told_at
     return view
 
 
--- a/tests/core/scheduling/test_scheduler.py
+++ b/tests/core/scheduling/test_scheduler.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import EndReason, JobState, RefusalCause, RoomReport, SlowRun
+from dalemast.core.scheduling import CapacityReport, EndReason, JobState, RefusalCause, SlowRun
 from dalemast.core.workloads import Resources, TaskKey
 from tests.core.scheduling.base import (
     LOST_RUN_S,
@@ -36,7 +36,7 @@
     def test_a_report_that_has_not_seen_a_start_does_not_free_its_room(self) -> None:
         self.add_worker("w1", cpu=2000)
         self.scheduler.submit(make_job("a", make_step(3)), now=10.0)
-        report = RoomReport(seen=1, free=Resources(cpu=1000, memory_mb=1000), is_accepting=True)
+        report = CapacityReport(seen=1, free=Resources(cpu=1000, memory_mb=1000), is_accepting=True)
         self.assertEqual([], get_starts(self.scheduler.update_worker("w1", report, now=10.0)))
 
     def test_a_worker_of_another_service_is_not_used(self) -> None:
@@ -66,7 +66,7 @@
         self.assertEqual([TaskKey(1, 0)], [start.task for start in starts])
 
     def test_a_near_worker_goes_before_a_far_one(self) -> None:
-        self.add_worker("far", is_near=False)
+        self.add_worker("far", is_same_data_centre=False)
         self.add_worker("near")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.assertEqual("near", start.worker)
@@ -104,7 +104,7 @@
         self.assertEqual([], get_starts(self.end(failed, EndReason.FAILED)))
         done = next(start for start in starts if start.worker == "w2")
         self.end(done, EndReason.DONE)
-        report = RoomReport(
+        report = CapacityReport(
             seen=done.number, free=Resources(cpu=1000, memory_mb=1000), is_accepting=True
         )
         (again,) = get_starts(self.scheduler.update_worker("w2", report, now=10.2))
@@ -189,10 +189,10 @@
     def test_a_worker_that_its_agent_calls_slow_gets_no_tasks(self) -> None:
         """Each of ten owners lost tasks on seven slow workers before it knew them."""
         self.add_worker("slow", cpu=8000)
-        self.add_worker("quick", cpu=8000, is_near=False)
+        self.add_worker("quick", cpu=8000, is_same_data_centre=False)
         free = Resources(cpu=8000, memory_mb=65536)
         for now in (10.0, 10.1, 10.2):
-            report = RoomReport(seen=0, free=free, is_accepting=True, pace=6.0)
+            report = CapacityReport(seen=0, free=free, is_accepting=True, pace=6.0)
             self.scheduler.update_worker("slow", report, now=now)
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(4)), now=10.3))
         self.assertEqual({"quick"}, {start.worker for start in starts})
@@ -200,7 +200,7 @@
     def test_a_pace_within_the_error_of_declared_times_says_nothing(self) -> None:
         self.add_worker("w")
         free = Resources(cpu=4000, memory_mb=65536)
-        report = RoomReport(seen=0, free=free, is_accepting=True, pace=2.0)
+        report = CapacityReport(seen=0, free=free, is_accepting=True, pace=2.0)
         self.scheduler.update_worker("w", report, now=10.0)
         self.assertEqual(1.0, self.scheduler.workers["w"].get_slowness(10.0))
 
@@ -299,7 +299,7 @@
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.worker = start.worker
         self.add_worker("w2")
-        return self.scheduler.report_slow(
+        return self.scheduler.handle_slow_run(
             start.worker, "a", start.task, start.run, report, now=11.0
         )
 
@@ -334,7 +334,7 @@
             self.end(start, EndReason.DONE)
         report = make_slow(age_s=0.3, total_s=1.0, worker_pace=1.0)
         slow = starts[0]
-        actions = self.scheduler.report_slow(
+        actions = self.scheduler.handle_slow_run(
             slow.worker, "a", slow.task, slow.run, report, now=10.3
         )
         self.assertEqual([slow.task], [stop.task for stop in get_stops(actions)])
@@ -352,7 +352,7 @@
         for step in range(6):
             now = 10.3 + 0.3 * step
             stops = get_stops(
-                self.scheduler.report_slow(run.worker, "a", run.task, run.run, report, now=now)
+                self.scheduler.handle_slow_run(run.worker, "a", run.task, run.run, report, now=now)
             )
             if not stops:
                 break
--- a/tests/core/scheduling/test_speeds.py
+++ b/tests/core/scheduling/test_speeds.py
@@ -9,11 +9,11 @@
 import testtools
 
 from dalemast.core.scheduling import (
+    CapacityReport,
     EndReason,
     FastestPlacement,
     LeastSlackOrder,
     LoadPolicy,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     SlowRun,
@@ -56,7 +56,7 @@
         service="floor",
         capacity=Resources(cpu=1000, memory_mb=1000),
         labels=frozenset(labels),
-        is_near=True,
+        is_same_data_centre=True,
         data_centre=data_centre,
     )
 
@@ -76,7 +76,7 @@
         return view
 
     def tell(self, name: str, slowness: float, *, runs: int = RUNS) -> None:
-        self.speeds.note_told(self.views[name], WorkerSpeed(slowness=slowness, runs=runs))
+        self.speeds.note_reported(self.views[name], WorkerSpeed(slowness=slowness, runs=runs))
         self.now += REFRESH_PAUSE_S
         self.speeds.refresh(now=self.now)
 
@@ -117,7 +117,7 @@
     def test_words_on_fewer_workers_than_tell_what_is_usual_do_not_count(self) -> None:
         for name in ("w0", "w1"):
             self.add(name, told=3.0)
-        self.assertEqual([None, None], [view.kind_slowness for view in self.views.values()])
+        self.assertEqual([None, None], [view.baseline_slowness for view in self.views.values()])
         self.add("w2", told=1.5)
         self.assertEqual([1.0, 1.0, 0.5], [self.get(name) for name in self.views])
 
@@ -182,12 +182,12 @@
         for number in range(12):
             told = 1 / SPEEDS[number % 3]
             self.add(f"w{number}", "a", told=told, at=f"dc{number % 4}")
-        self.assertIsNone(self.add("new", "a").kind_slowness)
+        self.assertIsNone(self.add("new", "a").baseline_slowness)
 
     def test_too_few_say_nothing(self) -> None:
         for number in range(3):
             self.add(f"w{number}", "a", told=1.67 if number else 1.0, at=f"dc{number}")
-        self.assertIsNone(self.add("new", "a").kind_slowness)
+        self.assertIsNone(self.add("new", "a").baseline_slowness)
 
 
 class SchedulerSpeedTests(SchedulerTestCase):
@@ -246,7 +246,9 @@
         self.add_worker("elsewhere", now=NOW)
         report = SlowRun(age_s=0.05, total_s=2.5, worker_pace=worker_pace, is_stalled=False)
         run = next(start for start in starts if start.worker == name)
-        actions = self.scheduler.report_slow(name, "s", run.task, run.run, report, now=NOW + 0.05)
+        actions = self.scheduler.handle_slow_run(
+            name, "s", run.task, run.run, report, now=NOW + 0.05
+        )
         return len(get_stops(actions))
 
     def test_a_run_as_slow_as_its_workers_kind_is_not_moved(self) -> None:
@@ -264,7 +266,7 @@
         for number in range(5):
             now = NOW + 0.3 * (number + 1)
             report = SlowRun(age_s=now - NOW, total_s=0.7, worker_pace=0.0, is_stalled=False)
-            actions = self.scheduler.report_slow(
+            actions = self.scheduler.handle_slow_run(
                 long.worker, "a", long.task, long.run, report, now=now
             )
             self.assertEqual([], get_stops(actions))
@@ -281,7 +283,7 @@
                     self.end(start, EndReason.DONE)
             self.add_worker("elsewhere", now=NOW)
             report = SlowRun(age_s=0.12, total_s=long_s / 0.6, worker_pace=0.0, is_stalled=False)
-            actions = self.scheduler.report_slow(
+            actions = self.scheduler.handle_slow_run(
                 "w0", "a", run.task, run.run, report, now=NOW + 0.121
             )
             self.assertEqual(moves, len(get_stops(actions)))
@@ -303,12 +305,12 @@
                     run_s=0.5 if start.worker == "w1" else 0.1 / 1.6,
                     now=NOW,
                 )
-                room = RoomReport(seen=start.number, free=full, is_accepting=True)
+                room = CapacityReport(seen=start.number, free=full, is_accepting=True)
                 self.scheduler.update_worker(start.worker, room, now=NOW)
         self.assertTrue(self.scheduler.workers["w1"].has_turned_slow(NOW))
 
     def test_a_worker_of_a_slow_kind_is_not_distrusted_for_its_pace(self) -> None:
-        report = RoomReport(
+        report = CapacityReport(
             seen=0, free=Resources(cpu=2000, memory_mb=999), is_accepting=True, pace=2.5
         )
         for name in ("w0", "w1"):
@@ -339,7 +341,7 @@
         for owner in self.owners:
             for name in self.speeds:
                 owner.add_worker(make_view(name), now=0.0)
-                room = RoomReport(seen=0, free=self.FULL, is_accepting=True)
+                room = CapacityReport(seen=0, free=self.FULL, is_accepting=True)
                 owner.update_worker(name, room, now=0.0)
 
     def end(self, owner: Scheduler, start: StartTask, now: float) -> list[StartTask]:
@@ -356,7 +358,7 @@
                 hearer.note_speed(start.worker, word)
         run = (start.worker, start.job.id, start.task, start.run, EndReason.DONE)
         actions = owner.end_run(*run, run_s=run_s, now=now)
-        room = RoomReport(seen=start.number, free=self.FULL, is_accepting=True)
+        room = CapacityReport(seen=start.number, free=self.FULL, is_accepting=True)
         return get_starts([*actions, *owner.update_worker(start.worker, room, now=now)])
 
     def play(self, turn: int) -> None:
--- a/tests/core/scheduling/test_suiting.py
+++ b/tests/core/scheduling/test_suiting.py
@@ -24,7 +24,7 @@
 
 def make_kind(name: str, slowness: float, *, cpu: int = 9000) -> WorkerView:
     view = make_view(name, cpu=cpu)
-    view.kind_slowness = slowness
+    view.baseline_slowness = slowness
     return view
 
 
--- a/tests/core/scheduling/test_wants.py
+++ b/tests/core/scheduling/test_wants.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import Action, AskRoom, PriorityOrder, RoomReport, Scheduler
+from dalemast.core.scheduling import Action, AskRoom, CapacityReport, PriorityOrder, Scheduler
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.scheduling.scheduler import SchedulerLimits
 from dalemast.core.workloads import Resources
@@ -23,9 +23,9 @@
     return [action for action in actions if isinstance(action, AskRoom)]
 
 
-def make_report(cpu: int, *, seen: int) -> RoomReport:
+def make_report(cpu: int, *, seen: int) -> CapacityReport:
     free = Resources(cpu=cpu, memory_mb=1000)
-    return RoomReport(seen=seen, free=free, is_accepting=True)
+    return CapacityReport(seen=seen, free=free, is_accepting=True)
 
 
 class WantTests(SchedulerTestCase):
@@ -67,7 +67,7 @@
     def test_ranks_of_owners_compare_whatever_their_clocks_show(self) -> None:
         self.fill()
         self.submit("a")
-        before = self.scheduler.get_want("w1")
+        before = self.scheduler.get_capacity_request("w1")
         other = Scheduler(
             order=PriorityOrder(),
             placement=FastestPlacement(remote_factor=1.5),
@@ -96,16 +96,16 @@
         self.submit("a")
         actions = self.scheduler.update_worker("w1", make_report(500, seen=1), now=10.0)
         self.assertEqual([], actions)
-        self.assertIsNotNone(self.scheduler.get_want("w1"))
+        self.assertIsNotNone(self.scheduler.get_capacity_request("w1"))
 
     def test_a_start_goes_with_what_is_still_wanted(self) -> None:
         self.fill()
         self.submit("a", count=2)
         actions = self.scheduler.update_worker("w1", make_report(1000, seen=1), now=10.0)
         self.assertEqual(1, len(get_starts(actions)))
-        self.assertIsNotNone(self.scheduler.get_want("w1"))
+        self.assertIsNotNone(self.scheduler.get_capacity_request("w1"))
         self.scheduler.update_worker("w2", make_report(1000, seen=2), now=10.0)
-        self.assertIsNone(self.scheduler.get_want("w2"))
+        self.assertIsNone(self.scheduler.get_capacity_request("w2"))
 
     def test_many_workers_are_asked_in_turn(self) -> None:
         for number in range(3, 31):
--- a/tests/core/supervision/test_preemption.py
+++ b/tests/core/supervision/test_preemption.py
@@ -85,7 +85,7 @@
         priority: int = LONG,
         cpu: int = 1200,
         run_s: float = LONG_S,
-        spare_s: float | None = 0.6,
+        restart_slack_s: float | None = 0.6,
         now: float = 10.0,
     ) -> list[Action]:
         request = StartRequest(
@@ -97,7 +97,7 @@
             number=next(self.numbers),
             said_at=now,
             priority=priority,
-            spare_s=spare_s,
+            restart_slack_s=restart_slack_s,
         )
         return self.supervisor.start(request, now=now)
 
@@ -180,15 +180,15 @@
         self.assertEqual([], self.preempt(want(preempts_from=None)))
 
     def test_a_run_whose_job_could_not_be_on_time_any_more_goes_on(self) -> None:
-        self.fill(spare_s=0.14)
+        self.fill(restart_slack_s=0.14)
         self.assertEqual([], self.preempt())
 
     def test_a_run_that_has_given_way_before_goes_on(self) -> None:
-        self.fill(spare_s=None)
+        self.fill(restart_slack_s=None)
         self.assertEqual([], self.preempt())
 
     def test_a_run_that_is_half_done_goes_on(self) -> None:
-        self.fill(spare_s=5.0)
+        self.fill(restart_slack_s=5.0)
         self.look(now=10.95)
         self.assertEqual([], self.preempt(now=10.95))
 
@@ -198,13 +198,19 @@
 
     def test_false_words_stop_nothing_and_harm_nobody(self) -> None:
         for number, words in enumerate(
-            ({"spare_s": nan}, {"run_s": nan}, {"priority": -1}, {"spare_s": -5.0}, {"run_s": 0.0})
+            (
+                {"restart_slack_s": nan},
+                {"run_s": nan},
+                {"priority": -1},
+                {"restart_slack_s": -5.0},
+                {"run_s": 0.0},
+            )
         ):
             self.start(f"false-{number}", **words)
         self.assertEqual([], self.preempt(want(15_000)))
         for absurd in (want(10**12), want(-5), want(preempts_from=-7), want(preempts_from=10**12)):
             self.assertEqual([], self.preempt(absurd))
-        self.start("endless", run_s=inf, spare_s=inf)
+        self.start("endless", run_s=inf, restart_slack_s=inf)
 
     def test_an_old_wish_stops_nothing(self) -> None:
         """It was held up on its way, or its owner stands still."""
--- a/tests/core/supervision/test_supervisor.py
+++ b/tests/core/supervision/test_supervisor.py
@@ -8,7 +8,7 @@
 import testtools
 
 from dalemast.core.scheduling import EndReason
-from dalemast.core.scheduling.paces import SLOW_PACE
+from dalemast.core.scheduling.slow_runs import SLOW_PACE
 from dalemast.core.supervision import (
     Action,
     EndedRun,
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -106,5 +106,5 @@
         links.take(mock.Mock(), make_crashed("i-1", rows))
         tell_peers.assert_called_once_with(make_crashed("i-1", rows[:1]))
         scheduler.note_crash.assert_called_once_with(
-            "i-1", rows, now=mock.ANY, is_seen=True, is_hearsay=False
+            "i-1", rows, now=mock.ANY, is_observed=True, is_relayed=False
         )
--- a/tests/fleet/test_desk.py
+++ b/tests/fleet/test_desk.py
@@ -8,10 +8,10 @@
 from dalemast import clock
 from dalemast.core.ownership import Granted, Held
 from dalemast.core.scheduling import (
+    CapacityReport,
     EndReason,
     FastestPlacement,
     LeastSlackOrder,
-    RoomReport,
     Scheduler,
     SchedulerLimits,
     StartTask,
@@ -93,10 +93,14 @@
     def add_worker(self, name: str) -> list[object]:
         capacity = Resources(cpu=4000, memory_mb=65536)
         view = WorkerView(
-            name=name, service="floor", capacity=capacity, labels=frozenset(), is_near=True
+            name=name,
+            service="floor",
+            capacity=capacity,
+            labels=frozenset(),
+            is_same_data_centre=True,
         )
         self.scheduler.add_worker(view, now=self.now)
-        report = RoomReport(seen=0, free=capacity, is_accepting=True)
+        report = CapacityReport(seen=0, free=capacity, is_accepting=True)
         return self.scheduler.update_worker(name, report, now=self.now)
 
     def end_run(self, desk: JobDesk, *, run: int, worker: str, key: TaskKey = KEY) -> None:
--- a/tests/fleet/test_speeds.py
+++ b/tests/fleet/test_speeds.py
@@ -113,7 +113,7 @@
 
     def get_told(self, fleet: LocalFleet, entry: int) -> list[float | None]:
         views = fleet.entries[entry]._scheduler.workers.values()
-        return [view.told_speed.slowness if view.told_speed else None for view in views]
+        return [view.reported_speed.slowness if view.reported_speed else None for view in views]
 
     def play(self, scenario, *, is_on: bool = True) -> None:
         settings = {"load": LoadSettings(learns_speeds=is_on)}
