--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -31,7 +31,7 @@
     "JobDone",
     "JobDropped",
     "JobOutcome",
-    "JobTurnedAway",
+    "JobRejected",
     "Jobs",
     "Look",
     "Member",
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class JobTurnedAway:
+class JobRejected:
     """None of the job has run nor ever will under this submission."""
 
     cause: str
@@ -82,7 +82,7 @@
     cause: str
 
 
-JobOutcome = JobDone | JobTurnedAway | JobDropped
+JobOutcome = JobDone | JobRejected | JobDropped
 
 
 class Jobs(Protocol):
--- a/dalemast/fleet/entry/agent_sessions.py
+++ b/dalemast/fleet/entry/agent_sessions.py
@@ -7,16 +7,16 @@
 from dalemast.fleet.frames import AgentHello, AgentMessage
 from dalemast.fleet.links import Link
 
-__all__ = ["AgentSession", "AgentSessionKeeper"]
+__all__ = ["AgentSession", "AgentSessionHandler"]
 
 
-class AgentSessionKeeper(Protocol):
+class AgentSessionHandler(Protocol):
     """Takes what happens on a link."""
 
     def begin_frame(self) -> None:
         """Prepare for a frame's messages."""
 
-    def take(self, session: AgentSession, message: AgentMessage) -> None:
+    def handle_message(self, session: AgentSession, message: AgentMessage) -> None:
         """Take in one message."""
 
     def end_session(self, session: AgentSession, reason: str) -> None:
@@ -26,7 +26,7 @@
 class AgentSession:
     """One agent's link, from its hello to its end."""
 
-    def __init__(self, *, link: Link, links: AgentSessionKeeper) -> None:
+    def __init__(self, *, link: Link, links: AgentSessionHandler) -> None:
         self._link = link
         self._links = links
         self.hello: AgentHello | None = None
@@ -49,7 +49,7 @@
         """Take in a frame."""
         self._links.begin_frame()
         for message in messages:
-            self._links.take(self, message)
+            self._links.handle_message(self, message)
 
     def close(self) -> None:
         """Note that the link has ended."""
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -27,7 +27,7 @@
 from dalemast.fleet.crashes import make_crashed, read_crashed
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
-from dalemast.fleet.entry.rows import make_row, make_starts, make_want
+from dalemast.fleet.entry.rows import make_capacity_request_row, make_run_row, make_starts
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
     AgentHello,
@@ -89,8 +89,8 @@
         apply: Apply,
         get_checked_at: Callable[[], float],
         check_pause: Callable[[], bool],
-        note_end: Callable[[RunEnded, str], None],
-        tell_peers: Callable[[Crashed], None],
+        record_run_end: Callable[[RunEnded, str], None],
+        notify_peers: Callable[[Crashed], None],
     ) -> None:
         self._member = member
         self._book = book
@@ -100,8 +100,8 @@
         self._apply = apply
         self._get_checked_at = get_checked_at
         self._check_pause = check_pause
-        self._note_end = note_end
-        self._tell_peers = tell_peers
+        self._note_end = record_run_end
+        self._tell_peers = notify_peers
         self._sessions: dict[str, AgentSession] = {}
         self._by_worker: dict[str, AgentSession] = {}
         self._routes: PeerRoutes | None = None
@@ -120,18 +120,18 @@
 
     def accept(self, link: Link) -> AgentSession:
         """Greet an agent that opened a link."""
-        link.begin_frames(self._make_said)
+        link.begin_frames(self._make_sent_at)
         link.send(EntryHello(member=to_row(self._member)))
         return AgentSession(link=link, links=self)
 
-    def tell_members(self, members: Iterable[Member]) -> None:
+    def send_members(self, members: Iterable[Member]) -> None:
         """Pass on entries that were learned of."""
         news = MemberNews(members=tuple(to_row(member) for member in members))
         if news.members:
             for session in self._sessions.values():
                 session.link.send(news)
 
-    def tell_evacuations(self, _: Evacuations) -> None:
+    def send_evacuations(self, _: Evacuations) -> None:
         """Tell all agents what is evacuated by now."""
         news = self._evacuations.make_news()
         for session in self._sessions.values():
@@ -150,11 +150,11 @@
         for stop in stops:
             session = self._by_worker.get(stop.worker)
             if session is not None:
-                session.link.send(Stop(run=make_row(stop.job_id, stop.task, stop.run)))
+                session.link.send(Stop(run=make_run_row(stop.job_id, stop.task, stop.run)))
 
-    def ask(self, asked: AskRoom) -> None:
+    def send_capacity_requests(self, asked: AskRoom) -> None:
         """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_want(asked.want))
+        message = Wants(want=make_capacity_request_row(asked.want))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -164,7 +164,7 @@
         """Find out whether this process stood still before it acts on what waited meanwhile."""
         self._check_pause()
 
-    def take(self, session: AgentSession, message: AgentMessage) -> None:
+    def handle_message(self, session: AgentSession, message: AgentMessage) -> None:
         """Take in one message."""
         assert self._routes is not None
         match message:
@@ -191,11 +191,11 @@
             case RunSlow():
                 self._report_slow(session, message)
             case EntriesHeard():
-                self._routes.take_heard(session, message)
+                self._routes.handle_reachable_entries(session, message)
             case Relayed():
-                self._routes.take_frame(session, message)
+                self._routes.handle_frame(session, message)
             case RouteEnded():
-                self._routes.take_end(session, message)
+                self._routes.handle_route_ended(session, message)
             case Bye():
                 session.is_ending = True
             case Beat():
@@ -213,7 +213,7 @@
         if self._routes is not None:
             self._routes.remove_agent(session)
 
-    def forgive_silence(self, late_s: float) -> None:
+    def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all agents."""
         for session in self._sessions.values():
             session.link.forgive(late_s)
@@ -224,7 +224,7 @@
         busy = self._scheduler.get_busy_workers()
         for session in list(self._sessions.values()):
             # An agent that owes an answer is waited for no longer than one that carries runs.
-            is_busy = session.worker in busy or self._routes.awaits(session)
+            is_busy = session.worker in busy or self._routes.is_awaiting(session)
             if is_busy:
                 self._mark_active(session)
             else:
@@ -245,7 +245,7 @@
         if session.active_since is None:
             session.active_since = clock.monotonic()
 
-    def _make_said(self) -> Said:
+    def _make_sent_at(self) -> Said:
         """Return when what follows is said: when this process last knew that it ran on.
 
         It may have stood still since, between a decision and its sending.
@@ -364,11 +364,11 @@
             self._tell_peers(Crashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
         self._take_crash(news, is_hearsay=False)
 
-    def take_hearsay(self, news: Crashed) -> None:
+    def handle_relayed_reports(self, news: Crashed) -> None:
         """Take in a crash that a peer tells of."""
         self._take_crash(news, is_hearsay=True)
 
-    def make_hearsay(self) -> list[Crashed]:
+    def make_relayed_reports(self) -> list[Crashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
         return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -23,10 +23,10 @@
 ANSWER_S = 0.6
 """How long all entries are waited for. One that is out of reach is given up as silent meanwhile
 (dalemast/fleet/entry/peers.py), or soon after in a large fleet, and then counts no longer."""
-SETTLE_S = 0.3
+STARTUP_GRACE_S = 0.3
 """A young entry claims nothing for this long, or until all known entries have told it their jobs.
 They do so in the first message of a link, and an entry that is up is dialled within 0.1 s."""
-DOUBT_S = 60.0
+SUSPECT_S = 60.0
 """For this long after a peer was lost without a goodbye, or while a known one has never been met,
 ids whose home that may concern are asked for at all peers, and told to all. It bounds cuts, which
 last some seconds, and costs a few messages for one id in as many as there are entries."""
@@ -41,10 +41,10 @@
     def has_open(self, job_id: str) -> bool:
         """Whether this entry was granted an id or is asking for it."""
 
-    def is_live(self, job_id: str) -> bool:
+    def is_active(self, job_id: str) -> bool:
         """Whether a job that was granted is being run here, and not being stopped."""
 
-    def give_up(self, job_id: str) -> None:
+    def yield_job(self, job_id: str) -> None:
         """Stop a job since another entry was asked for it; release its id once it has ended."""
 
 
@@ -52,14 +52,14 @@
     """What agents tell of entries that this one has no link with."""
 
     @property
-    def is_searching(self) -> bool:
+    def may_have_unlinked_peer(self) -> bool:
         """Whether such an entry may be there."""
 
     @property
-    def is_answered(self) -> bool:
+    def has_agent_response(self) -> bool:
         """Whether any agent has answered since the last entry was lost."""
 
-    def has_left_runs(self, job_id: str) -> bool:
+    def has_orphaned_runs(self, job_id: str) -> bool:
         """Tell whether something of a job still runs for an owner that its agent does not hear."""
 
 
@@ -117,7 +117,7 @@
     async def claim(self, job_id: str) -> Granted | Held:
         """Claim an id at its keepers; those that come into reach meanwhile are asked as well."""
         if self._is_too_young():
-            return Held(owner="", free_at=self._started_at + SETTLE_S)
+            return Held(owner="", free_at=self._started_at + STARTUP_GRACE_S)
         agreed: set[PeerSession] = set()
         is_doubtful = not self._has_met_enough()
         while missing := self._find_keepers(job_id, is_doubtful=is_doubtful) - agreed:
@@ -143,7 +143,7 @@
             if session is not None:
                 session.link.send(Release(job=job_id))
 
-    def answer(self, session: PeerSession, claim: Claim) -> None:
+    def handle_claim(self, session: PeerSession, claim: Claim) -> None:
         """Decide on a peer's claim; the owner that stands in its way is asked to give up."""
         if session.member is None:
             return
@@ -164,69 +164,69 @@
             )
         )
 
-    def take_answer(self, answer: ClaimAnswer) -> None:
+    def handle_response(self, answer: ClaimAnswer) -> None:
         """Take in an answer, unless it came too late."""
         question = self._asked.pop(answer.number, None)
         if question is not None and not question.answer.done():
             question.answer.set_result(answer)
 
-    def take_release(self, session: PeerSession, release: Release) -> None:
+    def handle_release(self, session: PeerSession, release: Release) -> None:
         """Free an id of a peer."""
         if session.member is not None:
             self._kept.release(release.job, session.member.incarnation)
 
-    def take_yield(self, session: PeerSession, news: Yield) -> None:
+    def handle_yield(self, session: PeerSession, news: Yield) -> None:
         """Give a job up that another entry was asked for.
 
         An id that is not open here was released, and the release got lost. It is said again on the
         link that carries the claims, so that it can't overtake one.
         """
         if self._jobs.has_open(news.job):
-            self._jobs.give_up(news.job)
+            self._jobs.yield_job(news.job)
             return
         own = None if session.member is None else self._dialled.get(session.member.name)
         if own is not None:
             own.link.send(Release(job=news.job))
 
-    def take_open_ids(self, session: PeerSession, job_ids: Iterable[str]) -> None:
+    def handle_open_ids(self, session: PeerSession, job_ids: Iterable[str]) -> None:
         """Keep the claims that an entry tells when it is met."""
         if session.member is None:
             return
         for job_id in job_ids:
             self._take_told(session, session.member, job_id)
 
-    def note_greeted(self, session: PeerSession) -> None:
+    def record_greeting(self, session: PeerSession) -> None:
         """Note who has heard this entry's own greeting: it is told of the end of those claims."""
-        for job_id in session.told:
+        for job_id in session.announced_ids:
             if self._jobs.has_open(job_id):
                 self._asked_for.setdefault(job_id, set()).add(session.name)
             elif session.is_dialled:
                 session.link.send(Release(job=job_id))
 
-    def note_owner_lost(self, member: Member) -> None:
+    def record_owner_lost(self, member: Member) -> None:
         """Note that the owner of claims kept here is out of reach: they lapse after a while."""
         self._kept.note_lost(member.incarnation, now=clock.monotonic())
 
-    def note_owner_back(self, member: Member) -> None:
+    def record_owner_back(self, member: Member) -> None:
         """Note that the owner of claims kept here is in reach."""
         self._kept.note_back(member.incarnation)
 
-    def doubt_home(self, member: Member, *, is_planned: bool) -> None:
+    def suspect_home(self, member: Member, *, is_planned: bool) -> None:
         """Note that an entry was lost and may keep claims unseen.
 
         After a goodbye it has none itself, and those that it kept are told to other entries as soon
         as their owners have heard it.
         """
-        doubt_s = self._lapse_s if is_planned else DOUBT_S
+        doubt_s = self._lapse_s if is_planned else SUSPECT_S
         self._lost_until[member.name] = clock.monotonic() + doubt_s
 
-    def forget(self, session: PeerSession) -> None:
+    def cancel_pending(self, session: PeerSession) -> None:
         """Wait for no more answers on a link that has ended."""
         for question in self._asked.values():
             if question.session is session and not question.answer.done():
                 question.answer.set_result(None)
 
-    def note_standstill(self) -> None:
+    def note_process_pause(self) -> None:
         """Begin anew after this process stood still: it has to meet the others before it grants.
 
         They may have given it up and granted its ids, and one that it reaches none of would grant
@@ -234,7 +234,7 @@
         """
         self._started_at = clock.monotonic()
 
-    def move_all(self) -> None:
+    def announce_all(self) -> None:
         """Tell the keepers of this entry's claims anew after the entries in reach have changed."""
         for job_id in self._jobs.get_claimed_ids():
             for session in self._find_keepers(job_id, is_doubtful=False):
@@ -265,12 +265,12 @@
         search = self._search
         if search is None:
             return False
-        if search.has_left_runs(job_id):
+        if search.has_orphaned_runs(job_id):
             return True
-        is_alone = self.has_lost_peers and not (self._dialled and search.is_answered)
+        is_alone = self.has_lost_peers and not (self._dialled and search.has_agent_response)
         if not is_doubtful and not is_alone and not self._may_be_kept_elsewhere(job_id):
             return False
-        return search.is_searching
+        return search.may_have_unlinked_peer
 
     def _may_be_kept_elsewhere(self, job_id: str) -> bool:
         """Tell whether the id's home may be an entry that was lost a while ago."""
@@ -321,30 +321,30 @@
     def _grant(self, job_id: str, owner: str) -> Granted | Held:
         """Grant an id to a peer, or ask who has it to give it up."""
         if self._jobs.has_open(job_id):
-            self._jobs.give_up(job_id)
+            self._jobs.yield_job(job_id)
             return Held(owner=self._member.incarnation, free_at=None)
         result = self._kept.claim(job_id, owner, now=clock.monotonic())
         if isinstance(result, Held):
             self._ask_to_yield(job_id, result.owner)
         elif not self._has_met_enough():
             # Nobody has it as far as is known here, which is too little: all are to be asked.
-            return Held(owner="", free_at=self._started_at + DOUBT_S)
+            return Held(owner="", free_at=self._started_at + SUSPECT_S)
         return result
 
     def _take_told(self, session: PeerSession, member: Member, job_id: str) -> None:
         """Keep a peer's claim. If others have one too, the peer is asked to give its job up."""
         is_news = self._kept.note_told(job_id, member.incarnation)
         held = self._kept.find_other(job_id, member.incarnation, now=clock.monotonic())
-        if is_news and (held is not None or self._jobs.is_live(job_id)):
+        if is_news and (held is not None or self._jobs.is_active(job_id)):
             session.link.send(Yield(job=job_id))
 
     def _is_too_young(self) -> bool:
         """Tell whether owners had no time yet to say which jobs they have."""
-        return clock.monotonic() - self._started_at < SETTLE_S and not self._has_met_all()
+        return clock.monotonic() - self._started_at < STARTUP_GRACE_S and not self._has_met_all()
 
     def _has_met_enough(self) -> bool:
         """Tell whether what is kept here speaks for all entries."""
-        return clock.monotonic() - self._started_at >= DOUBT_S or self._has_met_all()
+        return clock.monotonic() - self._started_at >= SUSPECT_S or self._has_met_all()
 
     def _ask_to_yield(self, job_id: str, owner: str) -> None:
         holder = self._accepted.get(owner)
--- a/dalemast/fleet/entry/news.py
+++ b/dalemast/fleet/entry/configuration_exchange.py
@@ -51,7 +51,7 @@
         if current is not None:
             session.link.send(self._make_version_news(current))
 
-    def take_version(self, session: PeerSession, news: VersionNews) -> None:
+    def handle_version(self, session: PeerSession, news: VersionNews) -> None:
         """Take in which version a peer has."""
         name = session.name
         if not name:
@@ -59,7 +59,7 @@
         self._copies.note_arrived(name)
         self._missing.note_peer(name, news.version, news.size_bytes, now=clock.monotonic())
 
-    def give(self, session: PeerSession, ask: ConfigurationAsk) -> None:
+    def send_configuration(self, session: PeerSession, ask: ConfigurationAsk) -> None:
         """Send the configuration to a peer that lacks it, or say that others come first.
 
         It may be of megabytes, which is too much for an agent to relay.
@@ -74,11 +74,11 @@
         log_event("configuration:given", peer=session.name, version=current.version)
         session.link.send(msgspec.Raw(self._encoded))
 
-    def take_later(self, session: PeerSession) -> None:
+    def handle_deferred(self, session: PeerSession) -> None:
         """Note that a peer gives the configuration to others first."""
         self._missing.note_later(session.name, now=clock.monotonic())
 
-    def take_configuration(self, session: PeerSession, news: ConfigurationNews) -> None:
+    def handle_configuration(self, session: PeerSession, news: ConfigurationNews) -> None:
         """Take in a configuration that a peer sent."""
         offered = Configuration(version=news.version, queues=news.queues)
         self._configuration.offer(offered, source=session.name or "peer")
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -62,7 +62,7 @@
         self._metrics.count("demand.told", len(due))
         self._log_waiting(words, now)
 
-    def take(self, member: Member, news: DemandNews) -> None:
+    def handle_report(self, member: Member, news: DemandNews) -> None:
         """Take in all that waits at a peer."""
         if not self._is_on:
             return
--- a/dalemast/fleet/entry/desk.py
+++ b/dalemast/fleet/entry/job_tracker.py
@@ -24,17 +24,17 @@
     TaskGivenUp,
 )
 from dalemast.core.workloads import JobRequest, TaskKey
-from dalemast.fleet.base import JobDone, JobDropped, JobOutcome, JobTurnedAway
-from dalemast.fleet.entry.endings import Endings
+from dalemast.fleet.base import JobDone, JobDropped, JobOutcome, JobRejected
+from dalemast.fleet.entry.unfinished_runs import UnfinishedRuns
 from dalemast.fleet.frames import RunEnded
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import Metrics, log_event
 
-__all__ = ["ClaimKeeper", "JobDesk"]
+__all__ = ["ClaimManager", "JobTracker"]
 
 CLAIM_RETRY_S = 0.04
 """Pause between two tries for an id that another owner is giving up; stops take up to 50 ms."""
-CLAIM_PATIENCE_S = 1.5
+CLAIM_WAIT_S = 1.5
 """How long an id that is held elsewhere is waited for: its owner's runs end within the time of
 :attr:`FleetTimes.lost_run_s`."""
 STOOD_STILL = "the entry stood still"
@@ -49,7 +49,7 @@
 """When the caller of such a job may come back; it has waited for :data:`CLAIM_PATIENCE_S`."""
 
 
-class ClaimKeeper(Protocol):
+class ClaimManager(Protocol):
     """Claims and releases ids."""
 
     async def claim(self, job_id: str) -> Granted | Held:
@@ -59,7 +59,7 @@
         """Free an id."""
 
 
-class OpenJob:
+class TrackedJob:
     """A job and whoever waits for it."""
 
     def __init__(self, *, request: JobRequest, arrived_at: float) -> None:
@@ -78,7 +78,7 @@
             self.answer.set_result(outcome)
 
 
-class JobDesk:
+class JobTracker:
     """The open jobs of one entry.
 
     ``check_pause`` finds out whether this process has just stood still, and lets it recover.
@@ -92,27 +92,27 @@
         times: FleetTimes,
         metrics: Metrics,
         send: Callable[[list[StartTask], list[StopTask]], None],
-        ask: Callable[[AskRoom], None],
+        request_capacity: Callable[[AskRoom], None],
         check_pause: Callable[[], bool],
-        tell_unseen: Callable[[RunPresumedOver], None] = lambda action: None,
+        report_unobserved_end: Callable[[RunPresumedOver], None] = lambda action: None,
     ) -> None:
-        self._tell_unseen = tell_unseen
+        self._tell_unseen = report_unobserved_end
         self._scheduler = scheduler
         self._times = times
         self._metrics = metrics
         self._send = send
-        self._ask = ask
+        self._request_capacity = request_capacity
         self._check_pause = check_pause
-        self._claims: ClaimKeeper | None = None
+        self._claims: ClaimManager | None = None
         self._ticked_at = clock.monotonic()
         self._standstills = 0
-        self._open: dict[str, OpenJob] = {}
-        self._endings = Endings(lost_run_s=times.lost_run_s, release=self._release)
+        self._open: dict[str, TrackedJob] = {}
+        self._endings = UnfinishedRuns(lost_run_s=times.lost_run_s, release=self._release)
 
     def __len__(self) -> int:
         return len(self._open)
 
-    def set_claims(self, claims: ClaimKeeper) -> None:
+    def set_claims(self, claims: ClaimManager) -> None:
         """Take who claims ids."""
         self._claims = claims
 
@@ -129,7 +129,7 @@
         """Whether this entry was granted an id or is asking for it."""
         return job_id in self._open or job_id in self._endings
 
-    def is_live(self, job_id: str) -> bool:
+    def is_active(self, job_id: str) -> bool:
         """Whether a job that was granted is being run here, and not being stopped."""
         job = self._open.get(job_id)
         return job is not None and job.is_submitted
@@ -143,7 +143,7 @@
             known.answer = asyncio.get_running_loop().create_future()
             log_event("job:joined", job=request.id, age_s=round(now - known.arrived_at, 3))
             return await known.answer
-        job = OpenJob(request=request, arrived_at=now)
+        job = TrackedJob(request=request, arrived_at=now)
         self._open[request.id] = job
         refusal = await self._claim(job)
         if self._open.get(request.id) is not job:
@@ -164,7 +164,7 @@
         """Cancel a job whose caller has hung up."""
         self._drop(job_id, "caller hung up")
 
-    def give_up(self, job_id: str) -> None:
+    def yield_job(self, job_id: str) -> None:
         """Cancel a job since another entry was asked for it."""
         self._drop(job_id, "submitted elsewhere")
 
@@ -178,14 +178,14 @@
             starts = [start for start in starts if start.job.id in self._open]
         stops = [action for action in actions if isinstance(action, StopTask)]
         self._send(starts, stops)
-        self._endings.prolong(stops, now=clock.monotonic())
+        self._endings.extend(stops, now=clock.monotonic())
         for action in actions:
             if isinstance(action, JobFinished):
                 self._finish(action, [stop for stop in stops if stop.job_id == action.job.id])
             elif isinstance(action, JobRefused):
                 self._refuse(action)
             elif isinstance(action, AskRoom):
-                self._ask(action)
+                self._request_capacity(action)
             elif isinstance(action, TaskGivenUp):
                 self._note_given_up(action)
             elif isinstance(action, RunPresumedOver):
@@ -193,11 +193,11 @@
             elif isinstance(action, RunMoved):
                 self._note_moved(action)
 
-    def note_end(self, news: RunEnded, worker: str) -> None:
+    def record_run_end(self, news: RunEnded, worker: str) -> None:
         """Note that a run has ended; the last one of an ended job frees its id."""
         row = news.run
         key = TaskKey(row.step, row.position)
-        self._endings.note_over(StopTask(worker=worker, job_id=row.job, task=key, run=row.run))
+        self._endings.record_end(StopTask(worker=worker, job_id=row.job, task=key, run=row.run))
 
     def tick(self, now: float) -> None:
         """Let time pass: free ids whose runs are surely over, and let the scheduler decide."""
@@ -228,7 +228,7 @@
                 in_reach=[name for name in workers if name in self._scheduler.workers],
             )
 
-    def abandon_begun(self, now: float) -> None:
+    def abandon_started(self, now: float) -> None:
         """Drop what has begun, after this process stood still: the runs were stopped meanwhile.
 
         What waits is turned away if it stood still for so long that claims of its have lapsed: the
@@ -236,19 +236,19 @@
         """
         self._standstills += 1
         may_have_lapsed = now - self._ticked_at >= self._times.lost_run_s
-        waiting = JobTurnedAway(cause=STOOD_STILL, retry_after_s=STOOD_STILL_RETRY_S)
+        waiting = JobRejected(cause=STOOD_STILL, retry_after_s=STOOD_STILL_RETRY_S)
         self._abandon(STOOD_STILL, waiting=waiting if may_have_lapsed else None)
 
-    def abandon_cut_off(self) -> None:
+    def abandon_isolated(self) -> None:
         """Drop all jobs, since others may be granted their ids while this entry reaches nobody.
 
         What has begun lapses now, as no agent hears this entry; what waits is turned away. Kept, it
         would start as soon as an agent is back, beside the run of another entry.
         """
-        waiting = JobTurnedAway(cause=CUT_OFF, retry_after_s=CUT_OFF_RETRY_S)
+        waiting = JobRejected(cause=CUT_OFF, retry_after_s=CUT_OFF_RETRY_S)
         self._abandon(CUT_OFF, waiting=waiting)
 
-    def _abandon(self, cause: str, *, waiting: JobTurnedAway | None) -> None:
+    def _abandon(self, cause: str, *, waiting: JobRejected | None) -> None:
         """Drop the jobs that have begun, and answer those that wait so, if they go as well."""
         for job_id, job in list(self._open.items()):
             known = self._scheduler.open_jobs.get(job_id)
@@ -267,10 +267,10 @@
         for job_id in list(self._open):
             self._drop(job_id, "the entry stops")
 
-    async def _claim(self, job: OpenJob) -> JobOutcome | None:
+    async def _claim(self, job: TrackedJob) -> JobOutcome | None:
         """Claim a job's id; return why it can't be had, or None."""
         assert self._claims is not None
-        give_up_at = job.arrived_at + CLAIM_PATIENCE_S
+        give_up_at = job.arrived_at + CLAIM_WAIT_S
         held_by = "this entry"
         while True:
             if job.request.id not in self._endings:
@@ -285,7 +285,7 @@
             if clock.monotonic() > give_up_at or self._open.get(job.request.id) is not job:
                 log_event("job:not-claimed", job=job.request.id, held_by=held_by)
                 if not held_by:
-                    return JobTurnedAway(cause=UNCONFIRMED, retry_after_s=UNCONFIRMED_RETRY_S)
+                    return JobRejected(cause=UNCONFIRMED, retry_after_s=UNCONFIRMED_RETRY_S)
                 return JobDropped(cause="its id is held by another entry")
             await asyncio.sleep(CLAIM_RETRY_S)
 
@@ -369,7 +369,7 @@
             **_describe_forecast(action.forecast),
         )
         if job is not None:
-            outcome = JobTurnedAway(cause=action.cause.value, retry_after_s=action.retry_after_s)
+            outcome = JobRejected(cause=action.cause.value, retry_after_s=action.retry_after_s)
             job.resolve(outcome)
 
     def _note_given_up(self, action: TaskGivenUp) -> None:
--- a/dalemast/fleet/entry/peer_sessions.py
+++ b/dalemast/fleet/entry/peer_sessions.py
@@ -10,13 +10,13 @@
 from dalemast.fleet.frames import PeerMessage
 from dalemast.fleet.links import BaseLink
 
-__all__ = ["PeerSession", "PeerSessionKeeper"]
+__all__ = ["PeerSession", "PeerSessionHandler"]
 
 
-class PeerSessionKeeper(Protocol):
+class PeerSessionHandler(Protocol):
     """Takes what happens on a link."""
 
-    def take(self, session: PeerSession, message: PeerMessage) -> None:
+    def handle_message(self, session: PeerSession, message: PeerMessage) -> None:
         """Take in one message."""
 
     def end_session(self, session: PeerSession) -> None:
@@ -30,7 +30,7 @@
         self,
         *,
         link: BaseLink,
-        links: PeerSessionKeeper,
+        links: PeerSessionHandler,
         is_dialled: bool,
         is_relayed: bool = False,
     ) -> None:
@@ -41,7 +41,7 @@
         """Whether an agent passes its frames on, for lack of a connection."""
         self.member: Member | None = None
         self.is_ending = False
-        self.told: tuple[str, ...] = ()
+        self.announced_ids: tuple[str, ...] = ()
         """The ids that this entry's own greeting told as claimed."""
         self.demand = DemandAudience()
         """What the other entry was told on this link of the work that waits."""
@@ -55,7 +55,7 @@
     def receive(self, messages: list[PeerMessage]) -> None:
         """Take in a frame."""
         for message in messages:
-            self._links.take(self, message)
+            self._links.handle_message(self, message)
 
     def close(self) -> None:
         """Note that the link has ended."""
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -14,8 +14,8 @@
 from dalemast.fleet.book import AddressBook, to_member, to_row
 from dalemast.fleet.entry.claims import JobClaims, OwnJobs
 from dalemast.fleet.entry.configuration import ConfigurationInForce
+from dalemast.fleet.entry.configuration_exchange import ConfigurationExchange
 from dalemast.fleet.entry.demand import DemandExchange
-from dalemast.fleet.entry.news import ConfigurationExchange
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.entry.routes import PeerRoutes
 from dalemast.fleet.evacuations import EvacuationsInForce
@@ -51,7 +51,7 @@
 pause grows, since the beats of a whole fleet of entries grow with their square."""
 SILENT_BEATS = 2.5
 """Pauses between beats after which an entry counts as silent: two misses and some."""
-DEAF_LINK_S = 1.0
+MIN_UNHEARD_LINK_AGE_S = 1.0
 """Age from which an own link is given up when the other entry says that it hears nothing on it.
 A younger one may have its first message still under way."""
 
@@ -68,8 +68,8 @@
         evacuations: EvacuationsInForce,
         times: FleetTimes,
         jobs: OwnJobs,
-        tell_agents: Callable[[Iterable[Member]], None],
-        take_crash: Callable[[Crashed], None],
+        notify_agents: Callable[[Iterable[Member]], None],
+        handle_crash: Callable[[Crashed], None],
         make_crashes: Callable[[], list[Crashed]],
         demand: DemandExchange,
     ) -> None:
@@ -78,8 +78,8 @@
         self._evacuations = evacuations
         self._times = times
         self._jobs = jobs
-        self._tell_agents = tell_agents
-        self._take_crash = take_crash
+        self._tell_agents = notify_agents
+        self._take_crash = handle_crash
         self._make_crashes = make_crashes
         self._demand = demand
         self._dialers: dict[str, Dialer] = {}
@@ -92,7 +92,9 @@
         """Peers whose own link ended without a goodbye, and that agents may hear all the same."""
         self._alone_since: float | None = None
         """Since when no agent answers while a peer is lost, or None."""
-        self._news = ConfigurationExchange(configuration=configuration, dialled=self._dialled)
+        self._configuration_exchange = ConfigurationExchange(
+            configuration=configuration, dialled=self._dialled
+        )
         self._routes = PeerRoutes(
             incarnation=member.incarnation, dialled=self._dialled, receiver=self
         )
@@ -117,7 +119,7 @@
         return self._claims
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_isolated(self) -> bool:
         """Whether this entry has reached neither agents nor a peer that it had for a while.
 
         The others may count it as gone, and then they grant its ids once its claims have lapsed.
@@ -137,7 +139,7 @@
         for address in self._book.addresses:
             self._dial(address)
         self._book.on_address(self._dial)
-        self._news.start()
+        self._configuration_exchange.start()
 
     def stop(self) -> None:
         """Say goodbye and end all links."""
@@ -155,21 +157,21 @@
         """Greet an entry on a link that an agent relays."""
         return self._open(link, is_dialled=is_dialled, is_relayed=True)
 
-    def note_routes_changed(self) -> None:
+    def handle_routes_changed(self) -> None:
         """Let the claims lapse of lost entries that no agent hears."""
         for incarnation, member in list(self._lost_owners.items()):
             if self._routes.is_gone(incarnation):
                 del self._lost_owners[incarnation]
                 log_event("peer:gone", peer=member.name, incarnation=incarnation)
-                self._claims.note_owner_lost(member)
+                self._claims.record_owner_lost(member)
 
-    def tell_evacuations(self, _: Evacuations) -> None:
+    def send_evacuations(self, _: Evacuations) -> None:
         """Tell all entries what is evacuated by now; the store may turn some of them away."""
         news = self._evacuations.make_news()
         for session in self._dialled.values():
             session.link.send(news)
 
-    def tell_crash(self, crashed: Crashed) -> None:
+    def send_crash(self, crashed: Crashed) -> None:
         """Tell all entries of tasks here under which a worker has crashed.
 
         The caller may ask any of them next, and not every one has a link with that worker's agent.
@@ -177,7 +179,7 @@
         for session in self._dialled.values():
             session.link.send(crashed)
 
-    def learn(self, members: Iterable[Member]) -> None:
+    def add_members(self, members: Iterable[Member]) -> None:
         """Take in entries, and pass on those that are news."""
         news = self._book.learn(members)
         if not news:
@@ -186,31 +188,31 @@
             session.link.send(MemberNews(members=tuple(to_row(member) for member in news)))
         self._tell_agents(news)
 
-    def take(self, session: PeerSession, message: PeerMessage) -> None:
+    def handle_message(self, session: PeerSession, message: PeerMessage) -> None:
         """Take in one message."""
         match message:
             case PeerHello():
                 self._greet(session, message)
             case MemberNews():
-                self.learn([to_member(row) for row in message.members])
+                self.add_members([to_member(row) for row in message.members])
             case EvacuationNews():
                 self._take_evacuations(session, message)
             case VersionNews():
                 self._take_version(session, message)
             case ConfigurationAsk():
-                self._news.give(session, message)
+                self._configuration_exchange.send_configuration(session, message)
             case ConfigurationLater():
-                self._news.take_later(session)
+                self._configuration_exchange.handle_deferred(session)
             case ConfigurationNews():
-                self._news.take_configuration(session, message)
+                self._configuration_exchange.handle_configuration(session, message)
             case Claim():
-                self._claims.answer(session, message)
+                self._claims.handle_claim(session, message)
             case ClaimAnswer():
-                self._claims.take_answer(message)
+                self._claims.handle_response(message)
             case Release():
-                self._claims.take_release(session, message)
+                self._claims.handle_release(session, message)
             case Yield():
-                self._claims.take_yield(session, message)
+                self._claims.handle_yield(session, message)
             case Crashed():
                 self._take_crash(message)
             case DemandNews():
@@ -232,12 +234,12 @@
         if not session.is_dialled and self._accepted.get(member.incarnation) is session:
             self._lose_accepted(session, member)
 
-    def note_standstill(self) -> None:
+    def note_process_pause(self) -> None:
         """Meet the others anew after this process stood still; they may have given it up."""
         self._met.clear()
-        self._claims.note_standstill()
+        self._claims.note_process_pause()
 
-    def forgive_silence(self, late_s: float) -> None:
+    def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all others."""
         for session in self._sessions:
             session.link.forgive(late_s)
@@ -256,19 +258,19 @@
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
         self._routes.tick(now)
-        self.note_routes_changed()
+        self.handle_routes_changed()
         self._note_alone(now)
         self._claims.sweep(now)
-        self._news.tick(now)
+        self._configuration_exchange.tick(now)
 
     def _take_demand(self, session: PeerSession, news: DemandNews) -> None:
         """Take in what waits at a peer, if it comes by the link that the peer uses now."""
         member = session.member
         if member is not None and self._accepted.get(member.incarnation) is session:
-            self._demand.take(member, news)
+            self._demand.handle_report(member, news)
 
     def _note_alone(self, now: float) -> None:
-        if self._routes.is_answered or not self._claims.has_lost_peers:
+        if self._routes.has_agent_response or not self._claims.has_lost_peers:
             self._alone_since = None
         elif self._alone_since is None:
             self._alone_since = now
@@ -282,12 +284,12 @@
             is_planned=session.is_ending,
             is_relayed=session.is_relayed,
         )
-        self._news.forget(member.name)
-        self._claims.doubt_home(member, is_planned=session.is_ending)
-        self._claims.forget(session)
+        self._configuration_exchange.forget(member.name)
+        self._claims.suspect_home(member, is_planned=session.is_ending)
+        self._claims.cancel_pending(session)
         if not session.is_ending:
             self._routes.suspect(member.incarnation)
-        self._claims.move_all()
+        self._claims.announce_all()
 
     def _lose_accepted(self, session: PeerSession, member: Member) -> None:
         """Note that a peer's link has ended; it may have another one by way of an agent."""
@@ -302,7 +304,7 @@
         del self._accepted[member.incarnation]
         self._demand.forget(member.incarnation)
         if session.is_ending:
-            self._claims.note_owner_lost(member)
+            self._claims.record_owner_lost(member)
             return
         self._lost_owners[member.incarnation] = member
         self._routes.suspect(member.incarnation)
@@ -322,7 +324,7 @@
         own = None if session.member is None else self._dialled.get(session.member.name)
         if is_heard or session.is_dialled or own is None:
             return
-        if clock.monotonic() - own.opened_at < DEAF_LINK_S:
+        if clock.monotonic() - own.opened_at < MIN_UNHEARD_LINK_AGE_S:
             return
         log_event("peer:deaf", peer=own.member.name if own.member else "")
         self.end_session(own)
@@ -358,8 +360,8 @@
     def _open(self, link: BaseLink, *, is_dialled: bool, is_relayed: bool = False) -> PeerSession:
         session = PeerSession(link=link, links=self, is_dialled=is_dialled, is_relayed=is_relayed)
         self._sessions.add(session)
-        session.told = tuple(self._jobs.get_claimed_ids())
-        link.send(PeerHello(member=to_row(self._member), jobs=session.told))
+        session.announced_ids = tuple(self._jobs.get_claimed_ids())
+        link.send(PeerHello(member=to_row(self._member), jobs=session.announced_ids))
         self._tell_declarations(session)
         return session
 
@@ -372,16 +374,16 @@
         if evacuations is not None:
             session.link.send(evacuations)
         if not session.is_relayed:
-            self._news.greet(session)
+            self._configuration_exchange.greet(session)
 
     def _greet(self, session: PeerSession, hello: PeerHello) -> None:
         member = to_member(hello.member)
         session.member = member
         self._met.add(member.name)
-        self.learn([member])
+        self.add_members([member])
         session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
-        self._claims.take_open_ids(session, hello.jobs)
-        self._claims.note_greeted(session)
+        self._claims.handle_open_ids(session, hello.jobs)
+        self._claims.record_greeting(session)
         if session.is_dialled:
             self._greet_dialled(session, member)
         else:
@@ -406,11 +408,11 @@
         )
         if before is not None and before is not session:
             self.end_session(before)
-        self._claims.move_all()
+        self._claims.announce_all()
 
     def _greet_accepted(self, session: PeerSession, member: Member) -> None:
         self._lost_owners.pop(member.incarnation, None)
-        self._claims.note_owner_back(member)
+        self._claims.record_owner_back(member)
         before = self._accepted.get(member.incarnation)
         if before is not None and session.is_relayed and not before.is_relayed:
             # It takes the place of the other once that has ended.
@@ -422,7 +424,7 @@
     def _take_version(self, session: PeerSession, news: VersionNews) -> None:
         """Take in a version, unless it could come by way of an agent alone."""
         if not session.is_relayed:
-            self._news.take_version(session, news)
+            self._configuration_exchange.handle_version(session, news)
 
     def _take_evacuations(self, session: PeerSession, news: EvacuationNews) -> None:
         answer = self._evacuations.take(news, source=session.name or "peer")
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -22,7 +22,7 @@
     BaseIngress,
     Configuration,
     JobOutcome,
-    JobTurnedAway,
+    JobRejected,
     Member,
 )
 from dalemast.fleet.book import AddressBook
@@ -30,7 +30,7 @@
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.demand import DemandExchange
-from dalemast.fleet.entry.desk import JobDesk
+from dalemast.fleet.entry.job_tracker import JobTracker
 from dalemast.fleet.entry.peers import PeerLinks
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import AgentMessage, PeerMessage
@@ -79,14 +79,14 @@
             started_at=clock.monotonic(),
             policy=LoadPolicy(**msgspec.structs.asdict(settings.load)),
         )
-        self._desk = JobDesk(
+        self._tracker = JobTracker(
             scheduler=self._scheduler,
             times=self._times,
             metrics=self._metrics,
             send=lambda starts, stops: self._agents.send(starts, stops),
-            ask=lambda asked: self._agents.ask(asked),
+            request_capacity=lambda asked: self._agents.send_capacity_requests(asked),
             check_pause=self._check_pause,
-            tell_unseen=lambda over: self._peers.tell_crash(make_unseen(over)),
+            report_unobserved_end=lambda over: self._peers.send_crash(make_unseen(over)),
         )
         self._agents = AgentLinks(
             member=self._member,
@@ -94,11 +94,11 @@
             scheduler=self._scheduler,
             evacuations=self._evacuations,
             times=self._times,
-            apply=self._desk.apply,
+            apply=self._tracker.apply,
             get_checked_at=lambda: self._pauses.checked_at,
             check_pause=self._check_pause,
-            note_end=self._desk.note_end,
-            tell_peers=lambda crashed: self._peers.tell_crash(crashed),
+            record_run_end=self._tracker.record_run_end,
+            notify_peers=lambda crashed: self._peers.send_crash(crashed),
         )
         self._demand = DemandExchange(
             scheduler=self._scheduler,
@@ -111,17 +111,17 @@
             configuration=self._configuration,
             evacuations=self._evacuations,
             times=self._times,
-            jobs=self._desk,
-            tell_agents=self._agents.tell_members,
-            take_crash=self._agents.take_hearsay,
-            make_crashes=self._agents.make_hearsay,
+            jobs=self._tracker,
+            notify_agents=self._agents.send_members,
+            handle_crash=self._agents.handle_relayed_reports,
+            make_crashes=self._agents.make_relayed_reports,
             demand=self._demand,
         )
-        self._desk.set_claims(self._peers.claims)
+        self._tracker.set_claims(self._peers.claims)
         self._agents.set_routes(self._peers.routes)
         self._evacuations.on_change(self._spare_evacuated)
-        self._evacuations.on_change(self._agents.tell_evacuations)
-        self._evacuations.on_change(self._peers.tell_evacuations)
+        self._evacuations.on_change(self._agents.send_evacuations)
+        self._evacuations.on_change(self._peers.send_evacuations)
         self._ingress: BaseIngress = load_backend(
             settings.backends.ingress, settings=settings, jobs=self
         )
@@ -149,12 +149,12 @@
         """Run a job, unless a planned stop is too far on."""
         if not self._has_time_for(request):
             log_event("job:refused", job=request.id, queue=request.queue.name, cause="draining")
-            return JobTurnedAway(cause="draining", retry_after_s=DRAINING_RETRY_S)
-        return await self._desk.run(request)
+            return JobRejected(cause="draining", retry_after_s=DRAINING_RETRY_S)
+        return await self._tracker.run(request)
 
     def leave(self, job_id: str) -> None:
         """Cancel a job whose caller has hung up."""
-        self._desk.leave(job_id)
+        self._tracker.leave(job_id)
 
     def take_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in what the store says of evacuations."""
@@ -203,24 +203,24 @@
         # stays. With all entries stopped in turn, by callers' counts, 14 of 1,548 jobs of tasks of
         # 1.8 s were refused, and 34 without it.
         closed = self._ingress.close_idle()
-        log_event("process:stopping", open_jobs=len(self._desk), closed_connections=closed)
+        log_event("process:stopping", open_jobs=len(self._tracker), closed_connections=closed)
         end_by = self._draining_since + self._get_drain_s()
         while clock.monotonic() < end_by:
             drained_s = clock.monotonic() - self._draining_since
-            is_quiet = not len(self._desk)
+            is_quiet = not len(self._tracker)
             if is_quiet and drained_s > MIN_DRAIN_S and not self._ingress.open_connections:
                 break
             if is_quiet and drained_s > BALANCER_S:
                 break
             await asyncio.sleep(TICK_S)
-        if len(self._desk):
-            self._desk.abandon_all()
+        if len(self._tracker):
+            self._tracker.abandon_all()
             await asyncio.sleep(STOPS_S)
-        log_event("process:stopped", open_jobs=len(self._desk))
+        log_event("process:stopped", open_jobs=len(self._tracker))
 
     def get_unfinished(self) -> list[str]:
         """Return the jobs that ending now would cut off."""
-        return [f"job {job_id}" for job_id in self._desk.get_open_ids()]
+        return [f"job {job_id}" for job_id in self._tracker.get_open_ids()]
 
     def get_state(self) -> dict[str, object]:
         """Return the dump."""
@@ -231,7 +231,7 @@
             "is_ready": self.is_ready,
             "configuration": None if current is None else current.version,
             "evacuated": sorted(self._evacuations.data_centres),
-            "open_jobs": len(self._desk),
+            "open_jobs": len(self._tracker),
             "claims": len(self._peers.claims),
             "peers": self._peers.peers,
             "demand": self._demand.get_state(),
@@ -262,11 +262,11 @@
     def _spare_evacuated(self, evacuations: Evacuations) -> None:
         """Start nothing in evacuated data centres, and use those that were taken back."""
         data_centres = evacuations.data_centres
-        self._desk.apply(self._scheduler.set_evacuated(data_centres, now=clock.monotonic()))
+        self._tracker.apply(self._scheduler.set_evacuated(data_centres, now=clock.monotonic()))
 
     def _learn_member(self, member: Member) -> None:
         if member.incarnation != self._member.incarnation:
-            self._peers.learn([member])
+            self._peers.add_members([member])
 
     async def _close_parts(self) -> None:
         self._peers.stop()
@@ -275,27 +275,27 @@
 
     def _forgive_silence(self, late_s: float) -> None:
         """Take the time that this process was late itself off the silence of all links."""
-        self._agents.forgive_silence(late_s)
-        self._peers.forgive_silence(late_s)
+        self._agents.reset_liveness_timers(late_s)
+        self._peers.reset_liveness_timers(late_s)
 
     def _recover_from_pause(self) -> None:
         """Give up the jobs that have begun: their runs may have lapsed meanwhile."""
-        self._peers.note_standstill()
-        self._desk.abandon_begun(clock.monotonic())
+        self._peers.note_process_pause()
+        self._tracker.abandon_started(clock.monotonic())
 
     @property
     def _is_busy(self) -> bool:
         """Whether a job is open here."""
-        return bool(len(self._desk))
+        return bool(len(self._tracker))
 
     def _tick(self) -> None:
         self._check_pause()
         now = clock.monotonic()
         self._agents.tick(now)
         self._peers.tick(now)
-        if self._peers.is_cut_off:
-            self._desk.abandon_cut_off()
-        self._desk.tick(now)
+        if self._peers.is_isolated:
+            self._tracker.abandon_isolated()
+        self._tracker.tick(now)
 
 
 def _count_down(leaves_at: float | None) -> float | None:
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -36,7 +36,7 @@
 
 __all__ = ["PeerRoutes", "RouteReceiver"]
 
-DIAL_FIRST_S = 0.3
+DIRECT_DIAL_S = 0.3
 """How long a peer that was never lost is left to be reached directly, once agents hear it: an entry
 that is up is dialled within 0.1 s, and as a system starts agents hear most of them before."""
 
@@ -47,7 +47,7 @@
     def open_relayed(self, link: RelayedLink, *, is_dialled: bool) -> PeerSession:
         """Begin a session on a link that was opened here, or by the peer."""
 
-    def note_routes_changed(self) -> None:
+    def handle_routes_changed(self) -> None:
         """Note that agents have told whom they hear, or that one was lost."""
 
 
@@ -99,12 +99,12 @@
         self._numbers = itertools.count(1)
 
     @property
-    def is_answered(self) -> bool:
+    def has_agent_response(self) -> bool:
         """Whether any agent has answered the last question, and so is surely in reach."""
         return any(view.answered >= self._asked for view in self._views.values())
 
     @property
-    def is_searching(self) -> bool:
+    def may_have_unlinked_peer(self) -> bool:
         """Whether a peer may be there that this entry has no link with.
 
         So it is before the agents have answered, and while they hear one that is not linked yet.
@@ -122,11 +122,11 @@
             view.answered >= number and incarnation not in view.entries for view in views
         )
 
-    def has_left_runs(self, job_id: str) -> bool:
+    def has_orphaned_runs(self, job_id: str) -> bool:
         """Tell whether something of a job still runs for an owner that its agent does not hear."""
         return any(job_id in view.left_jobs for view in self._views.values())
 
-    def awaits(self, session: AgentSession) -> bool:
+    def is_awaiting(self, session: AgentSession) -> bool:
         """Tell whether an agent has not answered yet."""
         view = self._views.get(session)
         return view is not None and view.answered < self._asked
@@ -142,7 +142,7 @@
             return
         for key in [key for key in self._routes if key[0] is session]:
             self._lose_route(key)
-        self._receiver.note_routes_changed()
+        self._receiver.handle_routes_changed()
 
     def suspect(self, incarnation: str) -> None:
         """Note that a peer was lost without a goodbye, and ask all agents about it."""
@@ -153,7 +153,7 @@
         for session in self._views:
             self._ask(session)
 
-    def take_heard(self, session: AgentSession, news: EntriesHeard) -> None:
+    def handle_reachable_entries(self, session: AgentSession, news: EntriesHeard) -> None:
         """Take in whom an agent hears."""
         if session not in self._views:
             return
@@ -163,9 +163,9 @@
             left_jobs=frozenset(news.left_jobs),
         )
         self._open_routes(now=clock.monotonic())
-        self._receiver.note_routes_changed()
+        self._receiver.handle_routes_changed()
 
-    def take_frame(self, session: AgentSession, message: Relayed) -> None:
+    def handle_frame(self, session: AgentSession, message: Relayed) -> None:
         """Take in a frame that an agent relays."""
         key = session, message.route
         route = self._routes.get(key)
@@ -182,7 +182,7 @@
             return
         route.session.receive(messages)
 
-    def take_end(self, session: AgentSession, message: RouteEnded) -> None:
+    def handle_route_ended(self, session: AgentSession, message: RouteEnded) -> None:
         """Note that nothing more comes by a route."""
         self._lose_route((session, message.route))
 
@@ -218,7 +218,7 @@
         opening = {route.peer for route in self._routes.values() if route.session.is_dialled}
         for incarnation in sorted(unlinked):
             since.setdefault(incarnation, now)
-            if incarnation not in self._suspects and now - since[incarnation] < DIAL_FIRST_S:
+            if incarnation not in self._suspects and now - since[incarnation] < DIRECT_DIAL_S:
                 continue
             # One that can't be dialled may be gone, and agents with idle links not know it yet.
             self.suspect(incarnation)
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -6,15 +6,15 @@
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import RunRow, StartRow, Starts, WantRow
 
-__all__ = ["make_row", "make_starts", "make_want"]
+__all__ = ["make_run_row", "make_starts", "make_capacity_request_row"]
 
 
-def make_row(job_id: str, task: TaskKey, run: int) -> RunRow:
+def make_run_row(job_id: str, task: TaskKey, run: int) -> RunRow:
     """Return the row that names one run of a task."""
     return RunRow(job=job_id, step=task.step, position=task.position, run=run)
 
 
-def make_want(want: Want | None) -> WantRow | None:
+def make_capacity_request_row(want: Want | None) -> WantRow | None:
     """Return what an owner lacks room for, to a tenth of a millisecond."""
     if want is None:
         return None
@@ -47,6 +47,6 @@
         job=group[0].job.id,
         payload=group[0].job.payload,
         tasks=tuple(rows),
-        want=make_want(want),
+        want=make_capacity_request_row(want),
         priority=group[0].job.queue.priority,
     )
--- a/dalemast/fleet/entry/endings.py
+++ b/dalemast/fleet/entry/unfinished_runs.py
@@ -6,10 +6,10 @@
 
 from dalemast.core.scheduling import StopTask
 
-__all__ = ["Endings"]
+__all__ = ["UnfinishedRuns"]
 
 
-class Endings:
+class UnfinishedRuns:
     """By ended job, which of its runs are being stopped, and when each has surely ended by itself.
 
     Runs are told apart by worker, task and number. Ends of a job's other runs may come at any time:
@@ -38,7 +38,7 @@
         else:
             self._release(job_id)
 
-    def prolong(self, stops: Iterable[StopTask], *, now: float) -> None:
+    def extend(self, stops: Iterable[StopTask], *, now: float) -> None:
         """Wait anew for runs of ended jobs that are told to stop once more.
 
         An agent that was out of reach lists them still, and may hear of their stops only now.
@@ -47,7 +47,7 @@
             if stop.job_id in self._jobs:
                 self._jobs[stop.job_id][stop] = now + self._lost_run_s
 
-    def note_over(self, run: StopTask) -> None:
+    def record_end(self, run: StopTask) -> None:
         """Note that a run has ended; the last one frees the id."""
         runs = self._jobs.get(run.job_id, {})
         if runs.pop(run, None) is None or runs:
@@ -59,4 +59,4 @@
         """Take runs whose time is over for ended."""
         for runs in list(self._jobs.values()):
             for run in [run for run, over_at in runs.items() if now >= over_at]:
-                self.note_over(run)
+                self.record_end(run)
--- a/dalemast/platform/ingress.py
+++ b/dalemast/platform/ingress.py
@@ -20,7 +20,7 @@
     Resources,
     StepRequest,
 )
-from dalemast.fleet.base import BaseIngress, JobDone, JobDropped, JobOutcome, Jobs, JobTurnedAway
+from dalemast.fleet.base import BaseIngress, JobDone, JobDropped, JobOutcome, JobRejected, Jobs
 from dalemast.http.callers import CallerServer
 from dalemast.http.server import BACKLOG, bind_address, log_nothing
 from dalemast.observability import log_event
@@ -146,7 +146,7 @@
         match outcome:
             case JobDone():
                 self._send(200, JobStateBody(state=outcome.state.value))
-            case JobTurnedAway():
+            case JobRejected():
                 message = f"not run: {outcome.cause}"
                 self._reject(JobNotTaken(message, retry_after_s=outcome.retry_after_s))
             case JobDropped():
--- a/tests/fleet/test_cancelled.py
+++ b/tests/fleet/test_cancelled.py
@@ -80,7 +80,7 @@
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(2.0), patience_ms=800))
-                with mock.patch("dalemast.fleet.entry.desk.log_event") as log:
+                with mock.patch("dalemast.fleet.entry.job_tracker.log_event") as log:
                     self.assertEqual(200, (await job).status)
                 overdue = [call for call in log.call_args_list if call.args == ("job:overdue",)]
                 self.assertEqual(1, len(overdue))
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -12,7 +12,7 @@
 
 from dalemast.core.ownership import Granted, Held, choose_home
 from dalemast.fleet.base import Member
-from dalemast.fleet.entry.claims import DOUBT_S, SETTLE_S, JobClaims
+from dalemast.fleet.entry.claims import STARTUP_GRACE_S, SUSPECT_S, JobClaims
 from dalemast.fleet.frames import Claim, ClaimAnswer, Release, Yield
 from dalemast.fleet.timing import FleetTimes
 from tests.base import AsyncTestCase
@@ -35,13 +35,13 @@
     def get_claimed_ids(self) -> list[str]:
         return sorted(self.claimed)
 
-    def is_live(self, job_id: str) -> bool:
+    def is_active(self, job_id: str) -> bool:
         return job_id in self.claimed
 
     def has_open(self, job_id: str) -> bool:
         return job_id in self.claimed or job_id in self.asked
 
-    def give_up(self, job_id: str) -> None:
+    def yield_job(self, job_id: str) -> None:
         self.given_up.append(job_id)
 
 
@@ -79,7 +79,7 @@
         self.member = member
         self.link = link
         self.is_dialled = is_dialled
-        self.told: tuple[str, ...] = ()
+        self.announced_ids: tuple[str, ...] = ()
 
     @property
     def name(self) -> str:
@@ -118,31 +118,31 @@
         there = FakeSession(self.member, back, is_dialled=False)
         link = FakeLink(lambda message: other._take(there, message))
         here = FakeSession(other.member, link, is_dialled=True)
-        here.told = tuple(self.jobs.get_claimed_ids())
+        here.announced_ids = tuple(self.jobs.get_claimed_ids())
         other.accepted[self.member.incarnation] = there
-        other.take_open_ids(there, here.told)
-        other.claims.note_owner_back(self.member)
+        other.handle_open_ids(there, here.announced_ids)
+        other.claims.record_owner_back(self.member)
         return here
 
     def take_greeting(self, session: FakeSession) -> None:
         """Take in the other entry's greeting on a link that this one has dialled."""
         self.dialled[session.member.name] = session
-        self.claims.note_greeted(session)  # type: ignore[arg-type]
-        self.claims.move_all()
+        self.claims.record_greeting(session)  # type: ignore[arg-type]
+        self.claims.announce_all()
 
     def lose(self, other: Entry) -> None:
         """Note that the link with another entry has ended without a goodbye, both ways."""
         session = self.dialled.pop(other.name)
         session.link.is_lossy = True
-        self.claims.forget(session)  # type: ignore[arg-type]
-        self.claims.doubt_home(other.member, is_planned=False)
-        self.claims.move_all()
+        self.claims.cancel_pending(session)  # type: ignore[arg-type]
+        self.claims.suspect_home(other.member, is_planned=False)
+        self.claims.announce_all()
         self.accepted.pop(other.member.incarnation).link.is_lossy = True
-        self.claims.note_owner_lost(other.member)
+        self.claims.record_owner_lost(other.member)
 
-    def take_open_ids(self, session: FakeSession, job_ids: tuple[str, ...]) -> None:
+    def handle_open_ids(self, session: FakeSession, job_ids: tuple[str, ...]) -> None:
         """Take in what another entry's greeting tells."""
-        self.claims.take_open_ids(session, job_ids)  # type: ignore[arg-type]
+        self.claims.handle_open_ids(session, job_ids)  # type: ignore[arg-type]
 
     async def claim(self, job_id: str) -> Granted | Held:
         """Claim an id as the desk does."""
@@ -162,13 +162,13 @@
         peer: Any = session
         match message:
             case Claim():
-                self.claims.answer(peer, message)
+                self.claims.handle_claim(peer, message)
             case ClaimAnswer():
-                self.claims.take_answer(message)
+                self.claims.handle_response(message)
             case Release():
-                self.claims.take_release(peer, message)
+                self.claims.handle_release(peer, message)
             case Yield():
-                self.claims.take_yield(peer, message)
+                self.claims.handle_yield(peer, message)
 
 
 def find_id(*names: str) -> str:
@@ -301,7 +301,7 @@
             self.assertFalse(is_granted(await self.c.claim(job_id)))
             self.c.dial(young)
             await settle()
-            self.wait(2 * SETTLE_S)
+            self.wait(2 * STARTUP_GRACE_S)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
@@ -328,7 +328,7 @@
         """Lose an entry for good, and return its next life, which is in nobody's reach yet."""
         self.cut(self.a, self.b)
         self.cut(self.c, self.b)
-        self.wait(2 * DOUBT_S)
+        self.wait(2 * SUSPECT_S)
         self.entries[1] = Entry("b")
         return self.entries[1]
 
@@ -441,7 +441,7 @@
             job_id = find_id("b", "c", "a", "d")
             for owner in (self.a, self.d):
                 owner.jobs.claimed.add(job_id)
-                owner.claims.move_all()
+                owner.claims.announce_all()
             await settle()
             self.assertEqual(([], [job_id]), (self.a.jobs.given_up, self.d.jobs.given_up))
             self.a.release(job_id)
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -55,7 +55,7 @@
         async def run() -> None:
             async with LocalFleet(entries=2, workers=1) as fleet:
                 silent = fleet.entries[0]
-                silent._peers._news.give = lambda session, ask: None
+                silent._peers._configuration_exchange.send_configuration = lambda session, ask: None
                 entry = await add_entry_without_store(fleet)
                 await wait_until(
                     lambda: entry.get_state()["configuration"] == 7, "the other peer's answer"
@@ -83,25 +83,25 @@
     given: list[int] = []
     for entry in entries:
         links = entry._peers
-        note_given(links._news, given)
+        note_given(links._configuration_exchange, given)
     return given
 
 
 def note_given(news: Any, given: list[int]) -> None:
     """Note each version that an entry sends in whole."""
-    give = news.give
+    give = news.send_configuration
 
     def give_and_note(session: Any, ask: Any) -> None:
         given.append(ask.version)
         give(session, ask)
 
-    news.give = give_and_note
+    news.send_configuration = give_and_note
 
 
 def count_copies(entry: Any, copies: list[int]) -> None:
     """Note each configuration that reaches an entry which has it already."""
     peers = entry._peers
-    take = peers.take
+    take = peers.handle_message
 
     def take_and_note(session: Any, message: Any) -> None:
         current = entry._configuration.current
@@ -109,4 +109,4 @@
             copies.append(message.version)
         take(session, message)
 
-    peers.take = take_and_note
+    peers.handle_message = take_and_note
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -86,7 +86,7 @@
 class OwnerTests(unittest.TestCase):
     def test_an_owner_tells_its_peers_of_its_own_tasks(self) -> None:
         scheduler = mock.Mock(open_jobs={JOB: None})
-        tell_peers = mock.Mock()
+        notify_peers = mock.Mock()
         links = AgentLinks(
             member=mock.Mock(),
             book=mock.Mock(),
@@ -96,15 +96,15 @@
             apply=mock.Mock(),
             get_checked_at=mock.Mock(),
             check_pause=mock.Mock(),
-            note_end=mock.Mock(),
-            tell_peers=tell_peers,
+            record_run_end=mock.Mock(),
+            notify_peers=notify_peers,
         )
         links.set_routes(mock.Mock())
         rows = [
             CrashedTask(job_id=job_id, task=TaskKey(0, 0), age_s=0.25) for job_id in (JOB, "other")
         ]
-        links.take(mock.Mock(), make_crashed("i-1", rows))
-        tell_peers.assert_called_once_with(make_crashed("i-1", rows[:1]))
+        links.handle_message(mock.Mock(), make_crashed("i-1", rows))
+        notify_peers.assert_called_once_with(make_crashed("i-1", rows[:1]))
         scheduler.note_crash.assert_called_once_with(
             "i-1", rows, now=mock.ANY, is_seen=True, is_hearsay=False
         )
--- a/tests/fleet/test_desk.py
+++ b/tests/fleet/test_job_tracker.py
@@ -19,8 +19,8 @@
     WorkerView,
 )
 from dalemast.core.workloads import Resources, TaskKey
-from dalemast.fleet.base import JobDropped, JobTurnedAway
-from dalemast.fleet.entry.desk import JobDesk
+from dalemast.fleet.base import JobDropped, JobRejected
+from dalemast.fleet.entry.job_tracker import JobTracker
 from dalemast.fleet.frames import RunEnded, RunRow
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import Metrics
@@ -61,10 +61,10 @@
         self.log.append("granted" if isinstance(result, Granted) else "held")
 
 
-class DeskTestCase(AsyncTestCase):
+class JobTrackerTestCase(AsyncTestCase):
     """A desk whose agents and claims are played by hand."""
 
-    def make_desk(self, *workers: str) -> JobDesk:
+    def make_tracker(self, *workers: str) -> JobTracker:
         self.now = clock.monotonic()
         self.starts: list[StartTask] = []
         self.stops: list[StopTask] = []
@@ -75,20 +75,20 @@
             limits=SchedulerLimits(lost_run_s=TIMES.lost_run_s),
             started_at=self.now,
         )
-        desk = JobDesk(
+        tracker = JobTracker(
             scheduler=self.scheduler,
             times=TIMES,
             metrics=Metrics(),
             send=self._send,
-            ask=lambda asked: None,
+            request_capacity=lambda asked: None,
             check_pause=self._check_pause,
         )
-        self.desk = desk
+        self.tracker = tracker
         self.paused_s = 0.0
-        desk.set_claims(self.claims)
+        tracker.set_claims(self.claims)
         for worker in workers:
-            desk.apply(self.add_worker(worker))
-        return desk
+            tracker.apply(self.add_worker(worker))
+        return tracker
 
     def add_worker(self, name: str) -> list[object]:
         capacity = Resources(cpu=4000, memory_mb=65536)
@@ -99,16 +99,16 @@
         report = RoomReport(seen=0, free=capacity, is_accepting=True)
         return self.scheduler.update_worker(name, report, now=self.now)
 
-    def end_run(self, desk: JobDesk, *, run: int, worker: str, key: TaskKey = KEY) -> None:
+    def end_run(self, tracker: JobTracker, *, run: int, worker: str, key: TaskKey = KEY) -> None:
         """Tell the desk of a run's end, as the links with agents do."""
         row = RunRow(job=JOB, step=key.step, position=key.position, run=run)
         news = RunEnded(run=row, reason=EndReason.STOPPED, run_s=0.0)
-        desk.note_end(news, worker)
+        tracker.record_run_end(news, worker)
 
-    async def submit(self, desk: JobDesk, *, count: int = 1) -> asyncio.Task[object]:
+    async def submit(self, tracker: JobTracker, *, count: int = 1) -> asyncio.Task[object]:
         """Submit a job and return once it is placed."""
         begun = len(self.starts)
-        job = asyncio.ensure_future(desk.run(make_job(JOB, make_step(count))))
+        job = asyncio.ensure_future(tracker.run(make_job(JOB, make_step(count))))
         await wait_until(lambda: len(self.starts) == begun + count, "the starts")
         return job
 
@@ -116,7 +116,7 @@
         """Let the desk recover from a standstill, as its process does."""
         if not self.paused_s:
             return False
-        self.desk.abandon_begun(self.now + self.paused_s)
+        self.tracker.abandon_started(self.now + self.paused_s)
         self.paused_s = 0.0
         return True
 
@@ -125,7 +125,7 @@
         self.stops += stops
 
 
-class EndingTests(DeskTestCase):
+class EndingTests(JobTrackerTestCase):
     """An id is free once each run that was stopped has ended.
 
     The stops of a job that was given up were counted, and each end of a run of that id took one
@@ -136,19 +136,19 @@
 
     def test_the_end_of_another_run_frees_nothing(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
-            job = await self.submit(desk)
-            desk.apply(self.scheduler.lose_worker("w1", now=self.now))
-            desk.apply(self.add_worker("w2"))
+            tracker = self.make_tracker("w1")
+            job = await self.submit(tracker)
+            tracker.apply(self.scheduler.lose_worker("w1", now=self.now))
+            tracker.apply(self.add_worker("w2"))
             later = self.now + TIMES.lost_run_s
-            desk.tick(later)
+            tracker.tick(later)
             self.assertEqual([("w1", 1), ("w2", 2)], [(s.worker, s.run) for s in self.starts])
-            desk.leave(JOB)
-            self.end_run(desk, run=1, worker="w1")
-            self.assertTrue(desk.has_open(JOB))
+            tracker.leave(JOB)
+            self.end_run(tracker, run=1, worker="w1")
+            self.assertTrue(tracker.has_open(JOB))
             self.assertEqual(["granted"], self.claims.log)
-            self.end_run(desk, run=2, worker="w2")
-            self.assertFalse(desk.has_open(JOB))
+            self.end_run(tracker, run=2, worker="w2")
+            self.assertFalse(tracker.has_open(JOB))
             self.assertEqual(["granted", "released"], self.claims.log)
             self.assertIsInstance(await job, JobDropped)
 
@@ -156,14 +156,14 @@
 
     def test_an_end_that_is_said_twice_frees_nothing(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
-            job = await self.submit(desk, count=2)
-            desk.leave(JOB)
+            tracker = self.make_tracker("w1")
+            job = await self.submit(tracker, count=2)
+            tracker.leave(JOB)
             for _ in range(2):
-                self.end_run(desk, run=1, worker="w1")
-            self.assertTrue(desk.has_open(JOB))
-            self.end_run(desk, run=1, worker="w1", key=TaskKey(0, 1))
-            self.assertFalse(desk.has_open(JOB))
+                self.end_run(tracker, run=1, worker="w1")
+            self.assertTrue(tracker.has_open(JOB))
+            self.end_run(tracker, run=1, worker="w1", key=TaskKey(0, 1))
+            self.assertFalse(tracker.has_open(JOB))
             await job
 
         self.run_async(scenario())
@@ -172,11 +172,11 @@
         """Run numbers begin again with a new submission of an id."""
 
         async def scenario() -> None:
-            desk = self.make_desk("w1")
-            job = await self.submit(desk)
-            desk.leave(JOB)
-            self.end_run(desk, run=1, worker="w2")
-            self.assertTrue(desk.has_open(JOB))
+            tracker = self.make_tracker("w1")
+            job = await self.submit(tracker)
+            tracker.leave(JOB)
+            self.end_run(tracker, run=1, worker="w2")
+            self.assertTrue(tracker.has_open(JOB))
             await job
 
         self.run_async(scenario())
@@ -189,24 +189,24 @@
         """
 
         async def scenario() -> None:
-            desk = self.make_desk("w1")
-            job = await self.submit(desk)
+            tracker = self.make_tracker("w1")
+            job = await self.submit(tracker)
             dropped_at = clock.monotonic()
-            desk.leave(JOB)
+            tracker.leave(JOB)
             found_at = dropped_at + 0.9 * TIMES.lost_run_s
             with mock.patch("dalemast.clock.monotonic", return_value=found_at):
-                desk.apply(self.scheduler.reconcile("w1", [(JOB, KEY, 1)], now=found_at))
+                tracker.apply(self.scheduler.reconcile("w1", [(JOB, KEY, 1)], now=found_at))
             self.assertEqual([1, 1], [stop.run for stop in self.stops])
-            desk.tick(dropped_at + TIMES.lost_run_s + 0.1)
-            self.assertTrue(desk.has_open(JOB))
-            desk.tick(found_at + TIMES.lost_run_s + 0.1)
-            self.assertFalse(desk.has_open(JOB))
+            tracker.tick(dropped_at + TIMES.lost_run_s + 0.1)
+            self.assertTrue(tracker.has_open(JOB))
+            tracker.tick(found_at + TIMES.lost_run_s + 0.1)
+            self.assertFalse(tracker.has_open(JOB))
             await job
 
         self.run_async(scenario())
 
 
-class NumberTests(DeskTestCase):
+class NumberTests(JobTrackerTestCase):
     """Runs of an id are told apart by their numbers, also those of two submissions.
 
     A job was given up, its id was freed by time, and it came again to the same entry, whose first
@@ -216,26 +216,26 @@
 
     def test_a_late_end_of_an_earlier_submission_ends_no_run(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
-            first = await self.submit(desk)
-            desk.leave(JOB)
+            tracker = self.make_tracker("w1")
+            first = await self.submit(tracker)
+            tracker.leave(JOB)
             await first
-            desk.tick(clock.monotonic() + TIMES.lost_run_s)
-            second = await self.submit(desk)
+            tracker.tick(clock.monotonic() + TIMES.lost_run_s)
+            second = await self.submit(tracker)
             old, new = self.starts
-            desk.apply(
+            tracker.apply(
                 self.scheduler.end_run(
                     "w1", JOB, KEY, old.run, EndReason.NO_ROOM, run_s=0.0, now=clock.monotonic()
                 )
             )
             self.assertEqual([old, new], self.starts)
-            desk.leave(JOB)
+            tracker.leave(JOB)
             await second
 
         self.run_async(scenario())
 
 
-class ClaimTests(DeskTestCase):
+class ClaimTests(JobTrackerTestCase):
     """A claim belongs to one submission, whenever its answer comes.
 
     A caller hung up while its claim was under way, and the job came again to the same entry. The
@@ -245,19 +245,19 @@
 
     def test_a_claim_that_came_too_late_does_not_release_the_next_ones(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
+            tracker = self.make_tracker("w1")
             self.claims.is_held_up = True
-            first = asyncio.ensure_future(desk.run(make_job(JOB)))
+            first = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the first claim")
-            desk.leave(JOB)
-            second = asyncio.ensure_future(desk.run(make_job(JOB)))
+            tracker.leave(JOB)
+            second = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 2, "the second claim")
             self.claims.answer(0, Granted())
             self.claims.answer(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
             self.assertIsInstance(await first, JobDropped)
             self.assertEqual(["granted", "granted"], self.claims.log)
-            desk.leave(JOB)
+            tracker.leave(JOB)
             await second
 
         self.run_async(scenario())
@@ -266,11 +266,11 @@
         """Some entries may have granted a claim that another one refused."""
 
         async def scenario() -> None:
-            desk = self.make_desk("w1")
+            tracker = self.make_tracker("w1")
             self.claims.is_held_up = True
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
-            desk.leave(JOB)
+            tracker.leave(JOB)
             self.claims.answer(0, Held(owner="o2", free_at=None))
             await job
             self.assertEqual(["held", "released"], self.claims.log)
@@ -279,25 +279,25 @@
 
     def test_an_id_counts_as_claimed_from_its_grant_to_its_release(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
+            tracker = self.make_tracker("w1")
             self.claims.is_held_up = True
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
-            self.assertEqual([], desk.get_claimed_ids())
-            self.assertTrue(desk.has_open(JOB))
+            self.assertEqual([], tracker.get_claimed_ids())
+            self.assertTrue(tracker.has_open(JOB))
             self.claims.answer(0, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
-            self.assertEqual(([JOB], True), (desk.get_claimed_ids(), desk.is_live(JOB)))
-            desk.leave(JOB)
-            self.assertEqual(([JOB], False), (desk.get_claimed_ids(), desk.is_live(JOB)))
-            self.end_run(desk, run=1, worker="w1")
-            self.assertEqual(([], False), (desk.get_claimed_ids(), desk.has_open(JOB)))
+            self.assertEqual(([JOB], True), (tracker.get_claimed_ids(), tracker.is_active(JOB)))
+            tracker.leave(JOB)
+            self.assertEqual(([JOB], False), (tracker.get_claimed_ids(), tracker.is_active(JOB)))
+            self.end_run(tracker, run=1, worker="w1")
+            self.assertEqual(([], False), (tracker.get_claimed_ids(), tracker.has_open(JOB)))
             await job
 
         self.run_async(scenario())
 
 
-class OldGrantTests(DeskTestCase):
+class OldGrantTests(JobTrackerTestCase):
     """A grant may be old when it is read: it waits in the socket while its entry stands still.
 
     The home counts the entry as lost meanwhile, and the id may have been granted to another one.
@@ -305,23 +305,23 @@
 
     def test_an_id_is_claimed_anew_if_its_entry_stood_still_before_the_answer(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
+            tracker = self.make_tracker("w1")
             self.claims.is_held_up = True
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
             self.claims.answer(0, Granted())
-            desk.abandon_begun(self.now + TIMES.lost_run_s)
+            tracker.abandon_started(self.now + TIMES.lost_run_s)
             await wait_until(lambda: len(self.claims.waiting) == 2, "another claim")
             self.assertEqual([], self.starts)
             self.claims.answer(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
-            desk.leave(JOB)
+            tracker.leave(JOB)
             await job
 
         self.run_async(scenario())
 
 
-class StandstillTests(DeskTestCase):
+class StandstillTests(JobTrackerTestCase):
     """A job that waits while its entry stands still may have been claimed elsewhere meanwhile.
 
     Its claim lapses at its home once the entry was out of reach for long enough. Only what had
@@ -331,12 +331,12 @@
 
     def test_what_waited_is_turned_away_if_its_claim_may_have_lapsed(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk()
-            desk.tick(self.now)
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            tracker = self.make_tracker()
+            tracker.tick(self.now)
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
-            desk.abandon_begun(self.now + TIMES.lost_run_s + ROUNDING_S)
-            self.assertIsInstance(await asyncio.wait_for(job, 1.0), JobTurnedAway)
+            tracker.abandon_started(self.now + TIMES.lost_run_s + ROUNDING_S)
+            self.assertIsInstance(await asyncio.wait_for(job, 1.0), JobRejected)
             self.assertEqual({}, self.scheduler.open_jobs)
             self.assertEqual(["granted", "released"], self.claims.log)
 
@@ -344,13 +344,13 @@
 
     def test_what_waited_goes_on_waiting_if_its_claim_can_not_have_lapsed(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk()
-            desk.tick(self.now)
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            tracker = self.make_tracker()
+            tracker.tick(self.now)
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
-            desk.abandon_begun(self.now + TIMES.silence_s)
+            tracker.abandon_started(self.now + TIMES.silence_s)
             self.assertEqual([JOB], list(self.scheduler.open_jobs))
-            desk.leave(JOB)
+            tracker.leave(JOB)
             await job
 
         self.run_async(scenario())
@@ -362,12 +362,12 @@
         """
 
         async def scenario() -> None:
-            desk = self.make_desk()
-            desk.tick(self.now)
-            job = asyncio.ensure_future(desk.run(make_job(JOB)))
+            tracker = self.make_tracker()
+            tracker.tick(self.now)
+            job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
             self.paused_s = 2 * TIMES.lost_run_s
-            desk.apply(self.add_worker("w1"))
+            tracker.apply(self.add_worker("w1"))
             self.assertEqual([], self.starts)
             self.assertEqual({}, self.scheduler.open_jobs)
             await asyncio.wait_for(job, 1.0)
--- a/tests/fleet/test_refused_lines.py
+++ b/tests/fleet/test_refused_lines.py
@@ -8,25 +8,25 @@
 from unittest import mock
 
 from dalemast.core.scheduling import Forecast, JobRefused, LeftOut, RefusalCause
-from dalemast.fleet.base import JobTurnedAway
-from dalemast.fleet.entry.desk import JobDesk
+from dalemast.fleet.base import JobRejected
+from dalemast.fleet.entry.job_tracker import JobTracker
 from tests.core.scheduling.base import make_step
-from tests.fleet.test_desk import JOB, DeskTestCase, make_job
+from tests.fleet.test_job_tracker import JOB, JobTrackerTestCase, make_job
 
 
-class RefusedLineTests(DeskTestCase):
+class RefusedLineTests(JobTrackerTestCase):
     def test_it_names_the_rule_that_left_out_the_worker_with_room(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1", "w2", "w3")
+            tracker = self.make_tracker("w1", "w2", "w3")
             slow = self.scheduler.workers["w3"]
             slow.learn_slowness(5.0, now=self.now, weight=1.0)
             for name in ("w1", "w2"):
                 self.scheduler.workers[name].suspend()
-            with mock.patch("dalemast.fleet.entry.desk.log_event") as log:
-                job = asyncio.ensure_future(desk.run(make_job(JOB, make_step())))
+            with mock.patch("dalemast.fleet.entry.job_tracker.log_event") as log:
+                job = asyncio.ensure_future(tracker.run(make_job(JOB, make_step())))
                 await asyncio.sleep(0)
-                desk.tick(self.now + 1.0)
-                self.assertIsInstance(await job, JobTurnedAway)
+                tracker.tick(self.now + 1.0)
+                self.assertIsInstance(await job, JobRejected)
             (line,) = [call for call in log.call_args_list if call.args == ("job:refused",)]
             self.assertEqual({"not_accepting": 2, "too_slow": 1}, line.kwargs["left_out"])
 
@@ -34,9 +34,9 @@
 
     def test_it_tells_the_forecast_and_what_goes_ahead(self) -> None:
         async def scenario() -> None:
-            desk = self.make_desk("w1")
+            tracker = self.make_tracker("w1")
             forecast = Forecast(begin_s=1.5, here_core_s=2.0, elsewhere_core_s=40.0, cores=64.0)
-            line = self.refuse(desk, forecast)
+            line = self.refuse(tracker, forecast)
             told = ("forecast_s", "ahead_here_core_s", "ahead_elsewhere_core_s", "suiting_cores")
             self.assertEqual([1.5, 2.0, 40.0, 64.0], [line[name] for name in told])
 
@@ -45,17 +45,17 @@
     def test_a_begin_that_is_not_in_sight_is_null(self) -> None:
         async def scenario() -> None:
             forecast = Forecast(begin_s=math.inf, here_core_s=0.0, elsewhere_core_s=0.0, cores=0.0)
-            self.assertIsNone(self.refuse(self.make_desk("w1"), forecast)["forecast_s"])
+            self.assertIsNone(self.refuse(self.make_tracker("w1"), forecast)["forecast_s"])
 
         asyncio.run(scenario())
 
     def test_without_a_forecast_it_is_as_long_as_before(self) -> None:
         async def scenario() -> None:
-            self.assertNotIn("forecast_s", self.refuse(self.make_desk("w1"), None))
+            self.assertNotIn("forecast_s", self.refuse(self.make_tracker("w1"), None))
 
         asyncio.run(scenario())
 
-    def refuse(self, desk: JobDesk, forecast: Forecast | None) -> dict[str, Any]:
+    def refuse(self, tracker: JobTracker, forecast: Forecast | None) -> dict[str, Any]:
         """Return what the line says of a job that was refused at its arrival."""
         refused = JobRefused(
             job=make_job(JOB, make_step()),
@@ -70,7 +70,7 @@
             left_out=LeftOut(no_room=1),
             forecast=forecast,
         )
-        with mock.patch("dalemast.fleet.entry.desk.log_event") as log:
-            desk.apply([refused])
+        with mock.patch("dalemast.fleet.entry.job_tracker.log_event") as log:
+            tracker.apply([refused])
         (call,) = log.call_args_list
         return dict(call.kwargs)
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -13,7 +13,7 @@
 from dalemast.fleet.agent.relay import EntryRelay
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.entry.routes import DIAL_FIRST_S, PeerRoutes
+from dalemast.fleet.entry.routes import DIRECT_DIAL_S, PeerRoutes
 from dalemast.fleet.frames import (
     Beat,
     ClockAsk,
@@ -151,7 +151,7 @@
         link.flush()
         return session
 
-    def note_routes_changed(self) -> None:
+    def handle_routes_changed(self) -> None:
         pass
 
 
@@ -170,7 +170,7 @@
 
     def hear(self, routes: PeerRoutes, number: int, *entries: str) -> list[Any]:
         """Let the agent tell whom it hears; return what it is sent then."""
-        routes.take_heard(self.agent, EntriesHeard(number=number, entries=entries))
+        routes.handle_reachable_entries(self.agent, EntriesHeard(number=number, entries=entries))
         return self.agent.link.take()
 
     def play(self, scenario: Any) -> None:
@@ -182,17 +182,17 @@
     def test_a_lost_peer_that_an_agent_hears_is_reached_by_it(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             self.hear(routes, 0)
-            self.assertFalse(routes.is_searching)
+            self.assertFalse(routes.may_have_unlinked_peer)
             routes.suspect(PEER)
-            self.assertTrue(routes.is_searching)
+            self.assertTrue(routes.may_have_unlinked_peer)
             self.agent.link.take()
             (frame,) = self.hear(routes, 1, PEER)
             self.assertEqual((OWN, PEER, True), (frame.sender, frame.receiver, frame.is_first))
-            self.assertTrue(routes.is_searching)
+            self.assertTrue(routes.may_have_unlinked_peer)
             (session,) = self.receiver.opened
             session.member = make_member(PEER)
             self.dialled["peer"] = session
-            self.assertFalse(routes.is_searching)
+            self.assertFalse(routes.may_have_unlinked_peer)
             self.assertFalse(routes.is_gone(PEER))
 
         self.play(scenario)
@@ -202,14 +202,14 @@
             second = mock.Mock(link=FakeLink())
             routes.add_agent(second)
             for agent in (self.agent, second):
-                routes.take_heard(agent, EntriesHeard(number=0, entries=()))
+                routes.handle_reachable_entries(agent, EntriesHeard(number=0, entries=()))
             routes.suspect(PEER)
             self.hear(routes, 1)
-            self.assertTrue(routes.awaits(second))
-            self.assertTrue(routes.is_searching)
+            self.assertTrue(routes.is_awaiting(second))
+            self.assertTrue(routes.may_have_unlinked_peer)
             self.assertFalse(routes.is_gone(PEER))
             routes.remove_agent(second)
-            self.assertFalse(routes.is_searching)
+            self.assertFalse(routes.may_have_unlinked_peer)
             self.assertTrue(routes.is_gone(PEER))
 
         self.play(scenario)
@@ -219,17 +219,17 @@
             self.hear(routes, 0)
             routes.suspect(PEER)
             routes.remove_agent(self.agent)
-            self.assertTrue(routes.is_searching)
+            self.assertTrue(routes.may_have_unlinked_peer)
             self.assertFalse(routes.is_gone(PEER))
-            self.assertFalse(routes.is_answered)
+            self.assertFalse(routes.has_agent_response)
 
         self.play(scenario)
 
     def test_a_peer_that_was_never_lost_is_left_to_be_dialled_first(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             self.assertEqual([], self.hear(routes, 0, PEER))
-            self.assertTrue(routes.is_searching)
-            routes.tick(clock.monotonic() + DIAL_FIRST_S + 0.01)
+            self.assertTrue(routes.may_have_unlinked_peer)
+            routes.tick(clock.monotonic() + DIRECT_DIAL_S + 0.01)
             sent = self.agent.link.take()
             self.assertEqual([EntriesAsk, Relayed], [type(message) for message in sent])
             self.assertEqual((PEER,), sent[0].suspects)
@@ -239,20 +239,20 @@
     def test_a_route_is_taken_from_its_first_frame_on_and_no_later(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             late = make_frame(sender=PEER, receiver=OWN, is_first=False)
-            routes.take_frame(self.agent, late)
+            routes.handle_frame(self.agent, late)
             self.assertEqual([], self.receiver.opened)
             ended = RouteEnded(route="r", sender=OWN, receiver=PEER)
             self.assertEqual([ended], self.agent.link.take())
-            routes.take_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
+            routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             (session,) = self.receiver.opened
             self.assertFalse(session.is_dialled)
-            self.receiver.keeper.take.assert_called_once_with(session, Beat())
+            self.receiver.keeper.handle_message.assert_called_once_with(session, Beat())
 
         self.play(scenario)
 
     def test_a_frame_for_an_earlier_life_is_not_taken(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            routes.take_frame(self.agent, make_frame(sender=PEER, receiver=OTHER))
+            routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OTHER))
             self.assertEqual([], self.receiver.opened)
             self.assertIsInstance(self.agent.link.take()[0], RouteEnded)
 
@@ -260,9 +260,9 @@
 
     def test_a_frame_that_does_not_parse_ends_the_session(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            routes.take_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
+            routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             bad = make_frame(sender=PEER, receiver=OWN, frame='[["?"]]', is_first=False)
-            routes.take_frame(self.agent, bad)
+            routes.handle_frame(self.agent, bad)
             self.receiver.keeper.end_session.assert_called_once_with(self.receiver.opened[0])
 
         self.play(scenario)
@@ -270,10 +270,10 @@
     def test_a_link_ends_with_its_agent_and_with_its_other_end(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             for name, end in (
-                ("a", lambda: routes.take_end(self.agent, RouteEnded("a", PEER, OWN))),
+                ("a", lambda: routes.handle_route_ended(self.agent, RouteEnded("a", PEER, OWN))),
                 ("b", lambda: routes.remove_agent(self.agent)),
             ):
-                routes.take_frame(self.agent, make_frame(route=name, sender=PEER, receiver=OWN))
+                routes.handle_frame(self.agent, make_frame(route=name, sender=PEER, receiver=OWN))
                 session = self.receiver.opened[-1]
                 end()
                 self.assertFalse(session.link.is_open)
@@ -283,7 +283,7 @@
 
     def test_a_link_that_is_given_up_tells_its_other_end(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            routes.take_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
+            routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             self.agent.link.take()
             for _ in range(2):
                 self.receiver.opened[0].link.reset()
@@ -336,7 +336,9 @@
                 for session in (relayed, direct):
                     peers._tell_declarations(session)
                     version = fleet.entries[0]._configuration.current.version
-                    peers._news.give(session, mock.Mock(version=version))
+                    peers._configuration_exchange.send_configuration(
+                        session, mock.Mock(version=version)
+                    )
                 kinds = [type(message).__name__ for message in relayed.link.sent]
                 self.assertNotIn("VersionNews", kinds)
                 self.assertNotIn("Raw", kinds)
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -26,7 +26,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 entry = fleet.entries[0]
                 time.sleep(ASIDE_S)
-                said = entry._agents._make_said()
+                said = entry._agents._make_sent_at()
                 self.assertIsInstance(said, Said)
                 self.assertEqual(int(entry._pauses.checked_at * 1000), said.at_ms)
                 self.assertLessEqual(said.at_ms, (clock.monotonic() - ASIDE_S) * 1000)
@@ -70,12 +70,12 @@
                 (session,) = agents._sessions.values()
                 news = make_news(session.worker, JOB.format(1))
                 sent: list[Any] = []
-                agents.take(session, WorkerNews("", "", 0, 0, 0, ()))
+                agents.handle_message(session, WorkerNews("", "", 0, 0, 0, ()))
                 job = asyncio.ensure_future(fleet.submit(JOB.format(2), text=make_text(0.1)))
                 waiting = fleet.entries[0]._scheduler.open_jobs
                 await wait_until(lambda: bool(waiting), "the job to wait")
                 with mock.patch.object(session.link, "send", side_effect=sent.append):
-                    agents.take(session, news)
+                    agents.handle_message(session, news)
                 kinds = [type(message) for message in sent]
                 self.assertLess(kinds.index(Stop), kinds.index(Reconciled))
                 self.assertNotIn(Starts, kinds[: kinds.index(Reconciled)])
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -20,7 +20,7 @@
 
 from dalemast.core.workloads import JobRequest, Resources, StepRequest
 from dalemast.fleet.agent import FleetAgentProcess
-from dalemast.fleet.base import JobDone, JobDropped, JobTurnedAway
+from dalemast.fleet.base import JobDone, JobDropped, JobRejected
 from dalemast.fleet.entry import FleetEntryProcess
 from dalemast.settings import (
     AddressSettings,
@@ -425,7 +425,7 @@
             return
         outcome = task.result()
         self._note(caller.entry, f"answers {caller.job_id} try {submission}: {outcome}")
-        if isinstance(outcome, JobTurnedAway):
+        if isinstance(outcome, JobRejected):
             caller.refused.add(submission)
         if submission != caller.submission or caller.is_over:
             return
