--- a/dalemast/bench/policies.py
+++ b/dalemast/bench/policies.py
@@ -14,7 +14,7 @@
 
 import cappa
 
-from dalemast.core.scheduling import NOTHING_ASKED, LoadPolicy
+from dalemast.core.scheduling import DEFAULT_LOAD_POLICY, LoadPolicy
 from dalemast.emulator.simulation import FleetShape, Outcome, Simulation
 from dalemast.emulator.traffic import (
     CARD_CIRCUIT,
@@ -105,7 +105,7 @@
     crash_s: float = 0.01
     crash_per_s: float = 0.0
     """How often each worker crashes by itself."""
-    policy: LoadPolicy = NOTHING_ASKED
+    policy: LoadPolicy = DEFAULT_LOAD_POLICY
     """The decisions under load that are asked for."""
 
 
--- a/dalemast/core/scheduling/__init__.py
+++ b/dalemast/core/scheduling/__init__.py
@@ -2,31 +2,31 @@
 
 from dalemast.core.scheduling.actions import (
     Action,
-    AskRoom,
+    CapacityRequest,
     EndReason,
     JobFinished,
     JobRefused,
     JobState,
     RefusalCause,
+    RequestCapacity,
     RunMoved,
     RunPresumedOver,
     StartTask,
     StopTask,
     TaskGivenUp,
-    Want,
 )
 from dalemast.core.scheduling.balance import BalancedPlacement
 from dalemast.core.scheduling.base import BaseOrder, BasePlacement
 from dalemast.core.scheduling.crashes import Crash, CrashedTask
 from dalemast.core.scheduling.estimates import RunTimes
+from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.forecasts import DemandElsewhere, Forecast
-from dalemast.core.scheduling.left_out import LeftOut
 from dalemast.core.scheduling.load import (
-    NOTHING_ASKED,
-    ComingRoom,
-    CutShort,
+    DEFAULT_LOAD_POLICY,
+    CapacityRelease,
+    DepartureRisk,
     LoadPolicy,
-    LoadWord,
+    QueuedDemand,
     WorkerSpeed,
 )
 from dalemast.core.scheduling.orders import LeastSlackOrder, PriorityOrder
@@ -35,16 +35,16 @@
 from dalemast.core.scheduling.workers import RoomReport, SlowRun, WorkerView
 
 __all__ = [
-    "NOTHING_ASKED",
+    "DEFAULT_LOAD_POLICY",
     "Action",
-    "AskRoom",
+    "RequestCapacity",
     "BalancedPlacement",
     "BaseOrder",
     "BasePlacement",
-    "ComingRoom",
+    "CapacityRelease",
     "Crash",
     "CrashedTask",
-    "CutShort",
+    "DepartureRisk",
     "DemandElsewhere",
     "EndReason",
     "FastestPlacement",
@@ -53,9 +53,9 @@
     "JobRefused",
     "JobState",
     "LeastSlackOrder",
-    "LeftOut",
+    "WorkerExclusions",
     "LoadPolicy",
-    "LoadWord",
+    "QueuedDemand",
     "PriorityOrder",
     "RefusalCause",
     "RoomReport",
@@ -68,7 +68,7 @@
     "StartTask",
     "StopTask",
     "TaskGivenUp",
-    "Want",
+    "CapacityRequest",
     "WorkerSpeed",
     "WorkerView",
 ]
--- a/dalemast/core/scheduling/actions.py
+++ b/dalemast/core/scheduling/actions.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 
 from dalemast.core.scheduling.crashes import Crash
+from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.forecasts import Forecast
-from dalemast.core.scheduling.left_out import LeftOut
 from dalemast.core.workloads import JobRequest, TaskKey
 
 __all__ = [
     "Action",
-    "AskRoom",
+    "RequestCapacity",
     "EndReason",
     "JobFinished",
     "JobRefused",
@@ -23,7 +23,7 @@
     "StartTask",
     "StopTask",
     "TaskGivenUp",
-    "Want",
+    "CapacityRequest",
 ]
 
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Want:
+class CapacityRequest:
     """What an owner lacks room for: the first of its waiting jobs.
 
     ``rank`` is that job's key of the order, which compares across owners; the least goes first.
@@ -80,11 +80,11 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AskRoom:
+class RequestCapacity:
     """Tell agents what this owner wants room for, or that it wants none any more."""
 
     workers: tuple[str, ...]
-    want: Want | None
+    request: CapacityRequest | None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -180,7 +180,7 @@
     needed_cpu: int
     free_cpu: int
     view_age_s: float
-    left_out: LeftOut
+    left_out: WorkerExclusions
     forecast: Forecast | None = None
 
 
@@ -211,5 +211,5 @@
     | TaskGivenUp
     | JobFinished
     | JobRefused
-    | AskRoom
+    | RequestCapacity
 )
--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from dalemast.core.scheduling.demand import DemandBook
+from dalemast.core.scheduling.demand import DemandTracker
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import START_MARGIN, Job
 from dalemast.core.scheduling.placements import FastestPlacement
@@ -20,12 +20,12 @@
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import JobRequest, Resources, StepRequest
 
-__all__ = ["BalancedPlacement", "Outlook", "SpillOver"]
+__all__ = ["BalancedPlacement", "DataCentreOption", "SpillOver"]
 
 SPLIT_COST = START_MARGIN
 """Share of run time that a single task must gain to leave its job's data centre. A job ends with
 its slowest task, and has this much time to spare: a task that gains less serves nobody alone."""
-TURN_GAIN = 0.1
+SWITCH_GAIN = 0.1
 """Share of run time that work must gain before it turns to other data centres, and in which those
 count as alike. Room is seen late, so that small differences swing."""
 WORD_AGE_S = 1.0
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Outlook:
+class DataCentreOption:
     """What a job would find in one data centre now.
 
     ``cost`` is the run time of its slowest task there over the usual one, ``wait`` how long its
@@ -62,7 +62,7 @@
         return frozenset(self._spilling)
 
     def choose(
-        self, job_id: str, service: str, outlooks: Iterable[Outlook], *, is_bound: bool
+        self, job_id: str, service: str, outlooks: Iterable[DataCentreOption], *, is_bound: bool
     ) -> str | None:
         """Return the data centre for a job, or None if there is none.
 
@@ -77,10 +77,10 @@
             return None
         # Those that are alike share what spills over by their room: owners don't all turn to one.
         least = min(self._get_cost(way) for way in chosen)
-        alike = [way for way in chosen if self._get_cost(way) <= least + TURN_GAIN]
+        alike = [way for way in chosen if self._get_cost(way) <= least + SWITCH_GAIN]
         return max(alike, key=lambda way: _draw(job_id, way)).data_centre
 
-    def _get_cost(self, way: Outlook) -> float:
+    def _get_cost(self, way: DataCentreOption) -> float:
         return way.cost + way.wait + (0.0 if way.is_near else self._far_penalty)
 
     def _turn(self, service: str, near: float | None, far: float | None, *, is_bound: bool) -> bool:
@@ -90,7 +90,7 @@
         if is_bound:
             return far < near
         was_spilling = service in self._spilling
-        is_spilling = far < near if was_spilling else far + TURN_GAIN < near
+        is_spilling = far < near if was_spilling else far + SWITCH_GAIN < near
         if is_spilling:
             self._spilling.add(service)
         else:
@@ -106,7 +106,7 @@
         self._spill_over = SpillOver(far_penalty=far_penalty)
         self._racks = RackDemand()
         self._loads: dict[str, float] = {}
-        self._demand = DemandBook()
+        self._demand = DemandTracker()
         self._planned: Counter[str] = Counter()
         """By data centre, how often it was chosen for a job."""
 
@@ -122,7 +122,7 @@
         """Count what racks a job's data makes wanted."""
         self._racks.note_job(request, run_times, now=now)
 
-    def read_demand(self, demand: DemandBook) -> None:
+    def read_demand(self, demand: DemandTracker) -> None:
         """Take what waits at the other entries from a book."""
         self._demand = demand
 
@@ -137,13 +137,15 @@
             return
         step = job.waiting[0].step
         usual_s = run_times.expect(queue=job.request.queue.name, declared_s=step.estimate_s)
-        by_place: dict[str, list[WorkerView]] = {}
+        by_data_centre: dict[str, list[WorkerView]] = {}
         for view in views:
-            by_place.setdefault(view.data_centre, []).append(view)
-        waiting = self._demand.get_ahead_by_place(service, job.request.queue.priority, now)
+            by_data_centre.setdefault(view.data_centre, []).append(view)
+        waiting = self._demand.get_core_s_ahead_by_data_centre(
+            service, job.request.queue.priority, now
+        )
         outlooks = [
             self._look(place, there, job, step, waiting.get(place, 0.0), usual_s, now)
-            for place, there in by_place.items()
+            for place, there in by_data_centre.items()
         ]
         is_bound = any(step.data_rack for step in job.request.steps)
         job.data_centre = self._spill_over.choose(
@@ -161,7 +163,7 @@
         waiting_core_s: float,
         usual_s: float,
         now: float,
-    ) -> Outlook:
+    ) -> DataCentreOption:
         """Return what a job would find in a data centre."""
         wanted = len(job.waiting)
         costs: list[float] = []
@@ -181,7 +183,7 @@
             wait_s += _expect_wait_s(step.resources, views, missing, usual_s, now)
             # What does not fit is started elsewhere, since nothing waits while there is room.
             costs.append(SPLIT_COST + ways[0][0])
-        return Outlook(
+        return DataCentreOption(
             data_centre=place,
             is_near=any(view.is_near for view in views),
             cost=max(costs),
@@ -239,7 +241,7 @@
     return missing * usual_s / slots
 
 
-def _draw(job_id: str, way: Outlook) -> float:
+def _draw(job_id: str, way: DataCentreOption) -> float:
     """Return a draw that all owners make alike; a way wins as often as its share of the room."""
     digest = hashlib.blake2b(f"{job_id} {way.data_centre}".encode(), digest_size=8).digest()
     share = (int.from_bytes(digest, "big") + 1) / 2**64
--- a/dalemast/core/scheduling/base.py
+++ b/dalemast/core/scheduling/base.py
@@ -5,7 +5,7 @@
 import abc
 from collections.abc import Iterable
 
-from dalemast.core.scheduling.demand import DemandBook
+from dalemast.core.scheduling.demand import DemandTracker
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import Job
 from dalemast.core.scheduling.workers import WorkerView
@@ -42,7 +42,7 @@
         """Take in a job that has arrived."""
         return
 
-    def read_demand(self, demand: DemandBook) -> None:
+    def read_demand(self, demand: DemandTracker) -> None:
         """Take what waits at the other entries from a book, which its owner keeps up to date."""
         return
 
--- a/dalemast/core/scheduling/rooms.py
+++ b/dalemast/core/scheduling/capacity.py
@@ -15,7 +15,14 @@
 
 from dalemast.core.scheduling.workers import WorkerView
 
-__all__ = ["OwnRun", "RoomStep", "RoomTimeline", "WorkerRoom", "bound_run_s", "get_worker_room"]
+__all__ = [
+    "OwnRun",
+    "CapacityStep",
+    "CapacityTimeline",
+    "WorkerAvailability",
+    "bound_run_s",
+    "get_worker_availability",
+]
 
 MOST_RUNS = 64
 """Runs one after the other for which begins are looked for; beyond them the mean rate tells."""
@@ -40,7 +47,7 @@
     left_s: float
 
 
-class RoomStep(NamedTuple):
+class CapacityStep(NamedTuple):
     """Room that comes free on one worker, evenly between two times, in seconds from now."""
 
     first_s: float
@@ -48,20 +55,20 @@
     cpu: int
 
 
-class WorkerRoom(NamedTuple):
+class WorkerAvailability(NamedTuple):
     """What is free on a worker, in thousandths of a core, and what comes free, soonest first.
 
     ``unknown`` is in use, and nobody knows for how long.
     """
 
     free: int
-    steps: Sequence[RoomStep]
+    steps: Sequence[CapacityStep]
     unknown: int = 0
 
 
-def get_worker_room(
+def get_worker_availability(
     view: WorkerView, runs: Iterable[OwnRun], *, fresh_s: float, now: float
-) -> WorkerRoom:
+) -> WorkerAvailability:
     """Return the room of a worker.
 
     ``runs`` are this owner's there. A word older than ``fresh_s`` is not believed.
@@ -70,7 +77,7 @@
     left = max(view.capacity.cpu - free, 0)
     age_s = now - view.coming_told_at
     told_at = -math.inf
-    steps: list[RoomStep] = []
+    steps: list[CapacityStep] = []
     if view.coming and 0.0 <= age_s <= fresh_s:
         told_at = view.coming_told_at
         before_s = math.inf
@@ -81,25 +88,25 @@
                 continue
             cpu = min(max(row.cpu, 0), left)
             # The first step is the next end; each other one may be several, told by the last.
-            steps.append(RoomStep(min(before_s, last_s), last_s, cpu))
+            steps.append(CapacityStep(min(before_s, last_s), last_s, cpu))
             before_s = last_s
             left -= cpu
     for run in runs:
         # The agent's word tells of all that was begun before it.
         if run.placed_at > told_at:
             cpu = min(run.cpu, left)
-            steps.append(RoomStep(run.left_s, run.left_s, cpu))
+            steps.append(CapacityStep(run.left_s, run.left_s, cpu))
             left -= cpu
-    return WorkerRoom(free, sorted(step for step in steps if step.cpu > 0), left)
+    return WorkerAvailability(free, sorted(step for step in steps if step.cpu > 0), left)
 
 
-class RoomTimeline:
+class CapacityTimeline:
     """The room of several workers as it comes free; when work gets it at the soonest.
 
     What is free already is too little for what waits: it counts on its own worker alone.
     """
 
-    def __init__(self, rooms: Iterable[WorkerRoom]) -> None:
+    def __init__(self, rooms: Iterable[WorkerAvailability]) -> None:
         self._rooms = list(rooms)
         self._single: dict[int, float] = {}
         known = sum(step.cpu for room in self._rooms for step in room.steps)
@@ -126,7 +133,7 @@
         """The share of the room in use of which it is known when it comes free."""
         return self._known_share
 
-    def find_single_s(self, cpu: int) -> float:
+    def get_single_worker_start_s(self, cpu: int) -> float:
         """Return when one worker has so much room at the soonest; infinity if none ever has."""
         found = self._single.get(cpu)
         if found is None:
@@ -134,7 +141,7 @@
             self._single[cpu] = found
         return found
 
-    def find_shared_s(self, cores: float, *, run_s: float) -> float:
+    def get_pooled_start_s(self, cores: float, *, run_s: float) -> float:
         """Return when tasks that take so many cores in all have begun at the soonest.
 
         ``run_s`` is how long each of them runs, and then leaves its room to another one.
@@ -164,7 +171,7 @@
         return begun
 
 
-def _find_first(room: WorkerRoom, cpu: int) -> float:
+def _find_first(room: WorkerAvailability, cpu: int) -> float:
     """Return when a worker may have so much room at the soonest."""
     free = room.free + room.unknown
     if free >= cpu:
--- a/dalemast/core/scheduling/coming.py
+++ b/dalemast/core/scheduling/capacity_releases.py
@@ -8,20 +8,20 @@
 
 import math
 
-from dalemast.core.scheduling.load import ComingRoom
+from dalemast.core.scheduling.load import CapacityRelease
 
-__all__ = ["MOST_STEPS", "OVERDUE_S", "age_coming", "is_coming_sound"]
+__all__ = ["MAX_STEPS", "OVERDUE_GRACE_S", "age_releases", "are_releases_valid"]
 
-MOST_STEPS = 4
+MAX_STEPS = 4
 """Steps of one word: the first few ends decide whether a job can begin in time."""
-OVERDUE_S = 0.5
+OVERDUE_GRACE_S = 0.5
 """How long after its time a step is still believed. Run times err by factors, but an end is told of
 within a report's pause, and a job that could wait for longer has other workers to look at."""
 
 
-def is_coming_sound(rows: tuple[ComingRoom, ...]) -> bool:
+def are_releases_valid(rows: tuple[CapacityRelease, ...]) -> bool:
     """Tell whether an agent's word can be true: few steps that free something, soonest first."""
-    if len(rows) > MOST_STEPS:
+    if len(rows) > MAX_STEPS:
         return False
     sooner_s = 0.0
     for row in rows:
@@ -31,20 +31,20 @@
     return True
 
 
-def age_coming(
-    rows: tuple[ComingRoom, ...], *, age_s: float, most_cpu: int
-) -> tuple[ComingRoom, ...]:
-    """Return the steps that are left of a word of this age, ``most_cpu`` in all at the most.
+def age_releases(
+    rows: tuple[CapacityRelease, ...], *, age_s: float, max_cpu: int
+) -> tuple[CapacityRelease, ...]:
+    """Return the steps that are left of a word of this age, ``max_cpu`` in all at the most.
 
     A step whose time is over is due now; it is free only once the agent says so.
     """
-    left_cpu = most_cpu
+    left_cpu = max_cpu
     aged = []
     for row in rows:
         in_s = row.in_s - age_s
         cpu = min(row.cpu, left_cpu)
-        if in_s < -OVERDUE_S or cpu <= 0:
+        if in_s < -OVERDUE_GRACE_S or cpu <= 0:
             continue
         left_cpu -= cpu
-        aged.append(ComingRoom(in_s=max(in_s, 0.0), cpu=cpu))
+        aged.append(CapacityRelease(in_s=max(in_s, 0.0), cpu=cpu))
     return tuple(aged)
--- a/dalemast/core/scheduling/wants.py
+++ b/dalemast/core/scheduling/capacity_requests.py
@@ -12,30 +12,30 @@
 from collections.abc import Callable, Collection, Iterable, Mapping
 from dataclasses import replace
 
-from dalemast.core.scheduling.actions import Action, AskRoom, StartTask, Want
+from dalemast.core.scheduling.actions import Action, CapacityRequest, RequestCapacity, StartTask
 from dalemast.core.scheduling.base import BaseOrder
 from dalemast.core.scheduling.jobs import Job
 from dalemast.core.scheduling.orders import ON_TIME
 from dalemast.core.scheduling.workers import WorkerView
 
-__all__ = ["RoomWants"]
+__all__ = ["CapacityRequests"]
 
 MOST_ASKED = 12
 """Workers that are asked at once. Each question is a message; a dozen workers of ten tasks each
 free enough room for a job of the usual width within a task's run time."""
 
 
-class RoomWants:
+class CapacityRequests:
     """What this owner wants of each service's workers, and which agents believe so."""
 
     def __init__(self, *, order: BaseOrder) -> None:
         self._order = order
-        self._wants: dict[str, Want] = {}
+        self._wants: dict[str, CapacityRequest] = {}
         self._asked: set[str] = set()
         """Workers whose agents may believe that this owner wants room."""
         self._turn = 0
 
-    def get(self, service: str) -> Want | None:
+    def get(self, service: str) -> CapacityRequest | None:
         """Return what is wanted of a service's workers; it goes along with each start."""
         return self._wants.get(service)
 
@@ -70,10 +70,10 @@
             )
             if names:
                 self._asked.update(names)
-                actions.append(AskRoom(workers=names, want=want))
+                actions.append(RequestCapacity(workers=names, request=want))
         return actions
 
-    def ask_to_preempt(
+    def request_preemption(
         self,
         jobs: Iterable[Job],
         get_workers: Callable[[Job], Iterable[WorkerView]],
@@ -91,25 +91,25 @@
             names = self._choose(view.name for view in get_workers(job))[: len(job.waiting)]
             if names:
                 self._asked.update(names)
-                actions.append(AskRoom(workers=names, want=want))
+                actions.append(RequestCapacity(workers=names, request=want))
         return actions
 
-    def answer_offer(self, view: WorkerView, actions: list[Action]) -> list[Action]:
+    def decline_unneeded_offer(self, view: WorkerView, actions: list[Action]) -> list[Action]:
         """Give room back that an agent has told of, if nothing waits that it could be used for."""
         if view.name not in self._asked or view.service in self._wants:
             return []
         if any(isinstance(action, StartTask) and action.worker == view.name for action in actions):
             return []
         self._asked.discard(view.name)
-        return [AskRoom(workers=(view.name,), want=None)]
+        return [RequestCapacity(workers=(view.name,), request=None)]
 
     def forget(self, worker: str) -> None:
         """Note that a worker is out of reach."""
         self._asked.discard(worker)
 
-    def _make_want(self, job: Job, now: float) -> Want:
+    def _make_want(self, job: Job, now: float) -> CapacityRequest:
         cpu = min(task.step.resources.cpu for task in job.waiting)
-        return Want(rank=self._order.get_key(job, now=now), cpu=cpu)
+        return CapacityRequest(rank=self._order.get_key(job, now=now), cpu=cpu)
 
     def _choose(self, workers: Iterable[str]) -> tuple[str, ...]:
         """Return whom to ask, others each time if they are many."""
@@ -120,7 +120,7 @@
         return tuple((names * 2)[self._turn : self._turn + MOST_ASKED])
 
 
-def _is_more_urgent(want: Want, before: Want | None) -> bool:
+def _is_more_urgent(want: CapacityRequest, before: CapacityRequest | None) -> bool:
     """Tell whether a want is of a more urgent class than the one before.
 
     Only that is news worth a message a worker: what became less urgent is told with the next start,
@@ -130,7 +130,7 @@
     return before is None or _get_class(want) < _get_class(before)
 
 
-def _get_class(want: Want) -> tuple[float, ...]:
+def _get_class(want: CapacityRequest) -> tuple[float, ...]:
     """Return a rank without its time, and with what has begun and what can be on time alike."""
     standing, *others = want.rank[:-1]
     return (max(standing, ON_TIME), *others)
--- a/dalemast/core/scheduling/choices.py
+++ b/dalemast/core/scheduling/choices.py
@@ -8,9 +8,9 @@
 from types import MappingProxyType
 
 from dalemast.core.scheduling.base import BasePlacement
+from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.jobs import Job, Task
-from dalemast.core.scheduling.left_out import LeftOut
-from dalemast.core.scheduling.suiting import get_slowest, get_slowness_bound
+from dalemast.core.scheduling.speed_bounds import get_max_slowness, get_slowness_bound
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Resources
 
@@ -104,7 +104,7 @@
         """
         steps = {task.key.step: task for task in job.waiting if not job.holds_back(task)}
         views = self._get_quick(job.request.queue.service)
-        bound = get_slowest(job, now=begins_at) if self._by_slack else float("inf")
+        bound = get_max_slowness(job, now=begins_at) if self._by_slack else float("inf")
         return [
             view
             for view in views
@@ -161,7 +161,7 @@
             job=job, step=task.step, workers=others or workers, now=self._now
         )
 
-    def count_left_out(self, job: Job, task: Task) -> LeftOut:
+    def count_left_out(self, job: Job, task: Task) -> WorkerExclusions:
         """Return how many workers of the service each rule leaves out for a task that waits."""
         service = job.request.queue.service
         suiting = self._get_suiting(service)
@@ -174,7 +174,7 @@
             if view.service == service:
                 rule = _get_rule(job, task, view, is_choosy=is_choosy)
                 counts[rule or ("suiting" if view.name in quick else "too_slow")] += 1
-        return LeftOut(**counts)
+        return WorkerExclusions(**counts)
 
     def _has_alternative(self, job: Job, task: Task) -> bool:
         """Tell whether a worker could take a task, with room or without, that did not fail it."""
@@ -264,7 +264,10 @@
 
 
 def _get_rule(job: Job, task: Task, view: WorkerView, *, is_choosy: bool) -> str:
-    """Return the field of :class:`LeftOut` for what leaves a worker out, its speed apart, or ""."""
+    """Return the field of :class:`WorkerExclusions` for what leaves a worker out, its speed apart.
+
+    Return "" if nothing does.
+    """
     if not task.step.resources.fits(view.free):
         return "no_room"
     if not view.is_accepting:
--- a/dalemast/core/scheduling/crashes.py
+++ b/dalemast/core/scheduling/crashes.py
@@ -31,20 +31,20 @@
 
 __all__ = ["Crash", "CrashRecords", "CrashedTask"]
 
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 """Crashes after which any task is given up: the bound on what one may cost."""
-MOST_ENDS = 5
+MAX_ENDS = 5
 """The same with ends that nobody saw: the platform lets a task that crashes its workers be started
 twice more after its third crash, and all its ends may have been unseen ones."""
 SAME_AGE_S = 0.1
 """How far the ages may differ at which a task ends its workers: agents find them gone some 35 ms
 later, give or take a look that is under way."""
-REMEMBERED_S = 120.0
+RETENTION_S = 120.0
 """How long a job is remembered after its last crash: as long as the platform lets callers ask for
 what became of one."""
-MAX_TOLD = 64
+MAX_REPORTED_JOBS = 64
 """Jobs of which a peer is told as it is met; those whose last crash is the latest are told."""
-MAX_ENDED = 1024
+MAX_ENDED_JOBS = 1024
 """Jobs that are remembered though they are not open here; the ones that crashed first go first."""
 
 
@@ -52,20 +52,20 @@
 class Crash:
     """The end of one life of a worker under a task.
 
-    ``age_s`` is how long the task had run, in seconds, or None where nobody saw it. ``is_seen``
+    ``age_s`` is how long the task had run, in seconds, or None where nobody saw it. ``is_observed``
     tells that the worker's process was found gone while its lease went on, and ``has_begun`` that
     the task was seen to run there.
     """
 
-    life: str
+    incarnation: str
     age_s: float | None
-    is_seen: bool = True
+    is_observed: bool = True
     has_begun: bool = True
 
     @property
     def is_sure(self) -> bool:
         """Whether a worker has surely ended under the task."""
-        return self.is_seen and self.has_begun
+        return self.is_observed and self.has_begun
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -105,16 +105,18 @@
     def __contains__(self, job_id: str) -> bool:
         return job_id in self._jobs
 
-    def note(self, job_id: str, task: TaskKey, crash: Crash, *, now: float) -> bool:
+    def record(self, job_id: str, task: TaskKey, crash: Crash, *, now: float) -> bool:
         """Take in a crash; return whether it was news."""
-        before = next((c for c in self.get(job_id, task) if c.life == crash.life), None)
+        before = next(
+            (c for c in self.get(job_id, task) if c.incarnation == crash.incarnation), None
+        )
         if before is not None and (before.is_sure or not crash.is_sure):
             return False
         known = self._jobs.pop(job_id, None) or JobCrashes(noted_at=now)
         known.noted_at = now
-        known.tasks.setdefault(task, {})[crash.life] = crash
+        known.tasks.setdefault(task, {})[crash.incarnation] = crash
         if not crash.is_sure:
-            self._unseen_lives.add(crash.life)
+            self._unseen_lives.add(crash.incarnation)
         self._jobs[job_id] = known
         self._forget_ended()
         return True
@@ -137,15 +139,15 @@
         if known is None:
             return False
         ends_by_life = {
-            crash.life: crash for ends in known.tasks.values() for crash in ends.values()
+            crash.incarnation: crash for ends in known.tasks.values() for crash in ends.values()
         }
-        return len(ends_by_life) >= MOST_CRASHES and _are_two_alike(ends_by_life.values())
+        return len(ends_by_life) >= MAX_CRASHES and _are_two_alike(ends_by_life.values())
 
-    def is_guilty(self, job_id: str, task: TaskKey) -> bool:
+    def should_give_up(self, job_id: str, task: TaskKey) -> bool:
         """Tell whether a task is to be given up."""
         ends = self.get(job_id, task)
         crashes = [end for end in ends if end.is_sure]
-        if len(crashes) >= MOST_CRASHES or len(ends) >= MOST_ENDS:
+        if len(crashes) >= MAX_CRASHES or len(ends) >= MAX_ENDS:
             return True
         return _are_two_alike(crashes)
 
@@ -155,7 +157,7 @@
         An entry that has begun anew knows nothing of them, and may be asked for their jobs next.
         """
         rows: dict[Crash, list[CrashedTask]] = {}
-        for job_id in list(self._jobs)[-MAX_TOLD:]:
+        for job_id in list(self._jobs)[-MAX_REPORTED_JOBS:]:
             for task, ends in self._jobs[job_id].tasks.items():
                 for end in ends.values():
                     row = CrashedTask(
@@ -164,25 +166,25 @@
                     rows.setdefault(replace(end, age_s=None, has_begun=True), []).append(row)
         return rows
 
-    def clear_unseen(self, life: str) -> set[str]:
+    def clear_unconfirmed(self, incarnation: str) -> set[str]:
         """Forget that a life may have ended, as it is there; return the jobs that it concerns."""
-        if life not in self._unseen_lives:
+        if incarnation not in self._unseen_lives:
             return set()
-        self._unseen_lives.discard(life)
+        self._unseen_lives.discard(incarnation)
         cleared = {
             (job_id, task)
             for job_id, known in self._jobs.items()
             for task, ends in known.tasks.items()
-            if life in ends and not ends[life].is_sure
+            if incarnation in ends and not ends[incarnation].is_sure
         }
         for job_id, task in cleared:
-            del self._jobs[job_id].tasks[task][life]
+            del self._jobs[job_id].tasks[task][incarnation]
         return {job_id for job_id, _ in cleared}
 
     def tick(self, *, now: float) -> None:
         """Forget ended jobs whose last crash was long ago."""
         for job_id, known in list(self._jobs.items()):
-            if now - known.noted_at < REMEMBERED_S:
+            if now - known.noted_at < RETENTION_S:
                 return
             if job_id not in self._open_jobs:
                 del self._jobs[job_id]
@@ -190,10 +192,10 @@
             self._unseen_lives.clear()
 
     def _forget_ended(self) -> None:
-        if len(self._jobs) <= MAX_ENDED:
+        if len(self._jobs) <= MAX_ENDED_JOBS:
             return
         ended = [job_id for job_id in self._jobs if job_id not in self._open_jobs]
-        for job_id in ended[: max(0, len(ended) - MAX_ENDED)]:
+        for job_id in ended[: max(0, len(ended) - MAX_ENDED_JOBS)]:
             del self._jobs[job_id]
 
 
--- a/dalemast/core/scheduling/departures.py
+++ b/dalemast/core/scheduling/departures.py
@@ -16,7 +16,7 @@
 from dalemast.core.scheduling.choices import WorkerChoice
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import LATE_FACTOR, Job, Task, TaskPhase
-from dalemast.core.scheduling.load import CutShort
+from dalemast.core.scheduling.load import DepartureRisk
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Resources, StepRequest, TaskKey
 
@@ -95,7 +95,7 @@
         self._cut: dict[tuple[str, TaskKey], _CutRun] = {}
         self._moves: dict[tuple[str, TaskKey], _Move] = {}
 
-    def note(self, job: Job, task: Task, report: CutShort, *, now: float) -> None:
+    def note(self, job: Job, task: Task, report: DepartureRisk, *, now: float) -> None:
         """Take in that a run is cut short, or is expected to end in time after all."""
         view = self._workers.get(task.worker)
         if view is None or view.leaves_at is None:
--- a/dalemast/core/scheduling/dispatching.py
+++ b/dalemast/core/scheduling/dispatching.py
@@ -11,11 +11,11 @@
 
 from dalemast.core.scheduling.actions import Action, StartTask
 from dalemast.core.scheduling.base import BaseOrder, BasePlacement
+from dalemast.core.scheduling.capacity_requests import CapacityRequests
 from dalemast.core.scheduling.choices import ChoiceRound, WorkerChoice
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import Job, Task
 from dalemast.core.scheduling.preemption import Preemption
-from dalemast.core.scheduling.wants import RoomWants
 from dalemast.core.scheduling.workers import WorkerView
 
 __all__ = ["Dispatcher"]
@@ -32,7 +32,7 @@
         placement: BasePlacement,
         choice: WorkerChoice,
         run_times: RunTimes,
-        wants: RoomWants,
+        wants: CapacityRequests,
         preemption: Preemption,
     ) -> None:
         self._jobs = jobs
@@ -88,7 +88,7 @@
         """Ask for room to be made where the jobs that may preempt can use it."""
         begins_at = now + self._preemption.takeover_s
         askers = self._preemption.find_askers(waiting, now=now)
-        return self._wants.ask_to_preempt(
+        return self._wants.request_preemption(
             askers, lambda job: choices.find_worth_clearing(job, begins_at=begins_at), now=now
         )
 
--- a/dalemast/core/scheduling/left_out.py
+++ b/dalemast/core/scheduling/exclusions.py
@@ -8,11 +8,11 @@
 
 from dataclasses import asdict, dataclass
 
-__all__ = ["LeftOut"]
+__all__ = ["WorkerExclusions"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LeftOut:
+class WorkerExclusions:
     """How many workers of a service each rule keeps a task from.
 
     Each worker counts once: those without room by ``no_room``, and the others by the first of the
--- a/dalemast/core/scheduling/forecasts.py
+++ b/dalemast/core/scheduling/forecasts.py
@@ -14,17 +14,17 @@
 from typing import Protocol
 
 from dalemast.core.scheduling.base import BaseOrder
-from dalemast.core.scheduling.estimates import RunTimes
-from dalemast.core.scheduling.jobs import LATE_FACTOR, Job, TaskPhase
-from dalemast.core.scheduling.preemption import MAY_PREEMPT
-from dalemast.core.scheduling.rooms import (
+from dalemast.core.scheduling.capacity import (
+    CapacityStep,
+    CapacityTimeline,
     OwnRun,
-    RoomStep,
-    RoomTimeline,
-    WorkerRoom,
+    WorkerAvailability,
     bound_run_s,
-    get_worker_room,
+    get_worker_availability,
 )
+from dalemast.core.scheduling.estimates import RunTimes
+from dalemast.core.scheduling.jobs import LATE_FACTOR, Job, TaskPhase
+from dalemast.core.scheduling.preemption import MAY_PREEMPT
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Queue
 
@@ -38,7 +38,7 @@
 """Share of the room in use of which an end must be known: a sample from a quarter of it."""
 LOOK_SHARE = 0.1
 """Share of a job's objective for which one look at the room serves: less than the margin."""
-LONGEST_LOOK_S = 1.5
+MAX_REUSE_S = 1.5
 """How long it serves at the most: by then each agent has reported anew."""
 MOST_LOOKS = 256
 """Looks that are kept, one for each queue and label; they are cheap to take again."""
@@ -47,7 +47,7 @@
 class DemandElsewhere(Protocol):
     """What other entries have waiting."""
 
-    def get_ahead(self, service: str, priority: int, now: float) -> float:
+    def get_core_s_ahead(self, service: str, priority: int, now: float) -> float:
         """Return the core-seconds that wait elsewhere for a service and are at least as urgent."""
 
 
@@ -84,7 +84,7 @@
     """The room for a queue's jobs at a moment, or None if no worker suited them."""
 
     at: float
-    rooms: RoomTimeline | None
+    rooms: CapacityTimeline | None
 
 
 class Forecasts:
@@ -135,9 +135,9 @@
         elsewhere_core_s = self._get_elsewhere(job, now)
         # The mean by work: other entries tell core-seconds, and the fewest cores they may be.
         cores = ahead.cores + elsewhere_core_s / ahead.run_s
-        begin_s = rooms.find_single_s(least_cpu)
+        begin_s = rooms.get_single_worker_start_s(least_cpu)
         if cores:
-            shared_s = rooms.find_shared_s(cores + least_cpu / 1000, run_s=ahead.run_s)
+            shared_s = rooms.get_pooled_start_s(cores + least_cpu / 1000, run_s=ahead.run_s)
             begin_s = max(begin_s, shared_s)
         begin_s -= age_s
         return Forecast(
@@ -147,7 +147,7 @@
             cores=rooms.cores,
         )
 
-    def _get_rooms(self, job: Job, now: float) -> tuple[RoomTimeline | None, float]:
+    def _get_rooms(self, job: Job, now: float) -> tuple[CapacityTimeline | None, float]:
         """Return the room that a job may get, None without any, and how old the look at it is.
 
         One look serves the jobs of a queue for a while: under overload forecasts are asked for more
@@ -157,11 +157,11 @@
         label = min(task.step.label for task in job.waiting)
         key = (queue.service, queue.name, label)
         seen = self._seen.get(key)
-        serves_s = min(LOOK_SHARE * job.objective_s, LONGEST_LOOK_S)
+        serves_s = min(LOOK_SHARE * job.objective_s, MAX_REUSE_S)
         if seen is not None and 0.0 <= now - seen.at <= serves_s:
             return seen.rooms, now - seen.at
         views = [view for view in self._workers.values() if self._suits(job, label, view, now)]
-        rooms = RoomTimeline(self._list_rooms(job, views, now)) if views else None
+        rooms = CapacityTimeline(self._list_rooms(job, views, now)) if views else None
         if len(self._seen) >= MOST_LOOKS:
             self._seen.clear()
         self._seen[key] = _Look(at=now, rooms=rooms)
@@ -175,14 +175,16 @@
             return False
         return job.is_of_use(slowness=view.get_slowness(now), now=now)
 
-    def _list_rooms(self, job: Job, views: list[WorkerView], now: float) -> list[WorkerRoom]:
+    def _list_rooms(
+        self, job: Job, views: list[WorkerView], now: float
+    ) -> list[WorkerAvailability]:
         queue = job.request.queue
         if self._preempts and self._has_less_urgent(queue):
             return [_get_whole_room(view) for view in views]
         runs = self._list_own_runs(now)
         fresh_s = LATE_FACTOR * job.objective_s
         return [
-            get_worker_room(view, runs.get(view.name, ()), fresh_s=fresh_s, now=now)
+            get_worker_availability(view, runs.get(view.name, ()), fresh_s=fresh_s, now=now)
             for view in views
         ]
 
@@ -243,11 +245,11 @@
     def _get_elsewhere(self, job: Job, now: float) -> float:
         """Return the core-seconds ahead at other entries; a word that is no number counts as 0."""
         queue = job.request.queue
-        core_s = self._elsewhere.get_ahead(queue.service, queue.priority, now)
+        core_s = self._elsewhere.get_core_s_ahead(queue.service, queue.priority, now)
         return max(core_s, 0.0) if math.isfinite(core_s) else 0.0
 
 
-def _get_whole_room(view: WorkerView) -> WorkerRoom:
+def _get_whole_room(view: WorkerView) -> WorkerAvailability:
     """Return all room of a worker, as free at once; one that has shrunk to nothing has none."""
     cpu = view.capacity.cpu
-    return WorkerRoom(0, [RoomStep(0.0, 0.0, cpu)] if cpu > 0 else [])
+    return WorkerAvailability(0, [CapacityStep(0.0, 0.0, cpu)] if cpu > 0 else [])
--- a/dalemast/core/scheduling/hopeless.py
+++ b/dalemast/core/scheduling/infeasible.py
@@ -5,14 +5,14 @@
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import JobRequest, Resources, StepRequest
 
-__all__ = ["SeenWorkers"]
+__all__ = ["KnownWorkerKinds"]
 
-HOPELESS_AFTER_S = 8.0
+INFEASIBLE_AFTER_S = 8.0
 """How long an owner listens to workers before it calls a job hopeless: heartbeats come every
 1.5 s and agents find a new owner within about a second."""
 
 
-class SeenWorkers:
+class KnownWorkerKinds:
     """The kinds of worker that an owner has ever seen, by service."""
 
     def __init__(self, *, started_at: float) -> None:
@@ -32,9 +32,9 @@
         kinds -= {kind for kind in alike if kind[0].fits(view.capacity)}
         kinds.add((view.capacity, view.labels))
 
-    def is_hopeless(self, request: JobRequest, *, now: float) -> bool:
+    def is_infeasible(self, request: JobRequest, *, now: float) -> bool:
         """Tell whether no worker that was ever seen could hold one of the job's tasks."""
-        if now - self._started_at < HOPELESS_AFTER_S:
+        if now - self._started_at < INFEASIBLE_AFTER_S:
             return False
         kinds = self._kinds.get(request.queue.service)
         if not kinds:
--- a/dalemast/core/scheduling/load.py
+++ b/dalemast/core/scheduling/load.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 __all__ = [
-    "NOTHING_ASKED",
-    "ComingRoom",
-    "CutShort",
+    "DEFAULT_LOAD_POLICY",
+    "CapacityRelease",
+    "DepartureRisk",
     "LoadPolicy",
-    "LoadWord",
+    "QueuedDemand",
     "WorkerSpeed",
 ]
 
@@ -32,11 +32,11 @@
     """What a leaving worker can't end is moved before it is lost."""
 
 
-NOTHING_ASKED = LoadPolicy()
+DEFAULT_LOAD_POLICY = LoadPolicy()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ComingRoom:
+class CapacityRelease:
     """Room that is expected to come free on a worker in so many seconds, in one step.
 
     ``cpu`` is thousandths of a core, and does not count what earlier steps free.
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class CutShort:
+class DepartureRisk:
     """An agent's word on a run that its worker is expected to leave before it ends.
 
     ``left_s`` is the rest of the run at its pace, ``leaves_in_s`` the least time that the worker
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class LoadWord:
+class QueuedDemand:
     """What one entry has waiting for a service, at one priority.
 
     ``jobs`` have not begun and can still be on time; ``core_s`` is what all their tasks take, in
--- a/dalemast/core/scheduling/numbers.py
+++ b/dalemast/core/scheduling/numbers.py
@@ -8,7 +8,7 @@
 
 __all__ = ["RunNumbers"]
 
-REMEMBERED_S = 10.0
+RETENTION_S = 10.0
 """How long numbers are remembered at the least. A job comes again some 1.3 s after it was given up,
 and what was still on its way then has arrived or is lost within the 3 s of a link's patience."""
 
@@ -30,8 +30,8 @@
         return self._latest.get(job_id, self._earlier.get(job_id, 0))
 
     def tick(self, *, now: float) -> None:
-        """Forget what is older than twice :data:`REMEMBERED_S`."""
-        if now - self._turned_at < REMEMBERED_S:
+        """Forget what is older than twice :data:`RETENTION_S`."""
+        if now - self._turned_at < RETENTION_S:
             return
         self._turned_at = now
         self._earlier = self._latest
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -8,10 +8,10 @@
 
 from dalemast.core.scheduling.actions import JobRefused, RefusalCause
 from dalemast.core.scheduling.choices import ChoiceRound, WorkerChoice
+from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.forecasts import Forecast, Forecasts
 from dalemast.core.scheduling.jobs import ON_WORKER, Job
-from dalemast.core.scheduling.left_out import LeftOut
-from dalemast.core.scheduling.returns import RETRY_AFTER_S, ReturnTimes
+from dalemast.core.scheduling.retry_times import RETRY_AFTER_S, RetryTimes
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Resources
 
@@ -42,13 +42,13 @@
     waiting_jobs: int
     retry_after_s: float
     choices: ChoiceRound
-    left_out: dict[tuple[str, Resources, str], LeftOut] = field(default_factory=dict)
+    left_out: dict[tuple[str, Resources, str], WorkerExclusions] = field(default_factory=dict)
 
-    def count_left_out(self, job: Job) -> LeftOut:
+    def count_left_out(self, job: Job) -> WorkerExclusions:
         """Return which rules kept a job's first task from the workers."""
         first = next((task for task in job.waiting if not job.holds_back(task)), None)
         if first is None:
-            return LeftOut()
+            return WorkerExclusions()
         if first.avoided:
             return self.choices.count_left_out(job, first)
         kind = (job.request.queue.service, first.step.resources, first.step.label)
@@ -80,13 +80,13 @@
         self._settling_until = started_at + SETTLING_S
         self._found_worker_at: float | None = None
         self._forecasts = forecasts
-        self._returns = ReturnTimes()
+        self._returns = RetryTimes()
 
-    def note_found_worker(self, *, now: float) -> None:
+    def note_new_worker(self, *, now: float) -> None:
         """Note that a worker came into reach."""
         self._found_worker_at = now
 
-    def is_in_vain(self, job: Job, *, now: float) -> bool:
+    def is_forecast_late(self, job: Job, *, now: float) -> bool:
         """Tell whether a job that has just arrived would surely wait until its refusal is due.
 
         An owner that has just started knows too little to say so.
--- a/dalemast/core/scheduling/returns.py
+++ b/dalemast/core/scheduling/retry_times.py
@@ -10,7 +10,7 @@
 
 from dalemast.core.scheduling.jobs import Job
 
-__all__ = ["RETRY_AFTER_S", "ReturnTimes"]
+__all__ = ["RETRY_AFTER_S", "RetryTimes"]
 
 RETRY_AFTER_S = (0.2, 5.0)
 """Bounds on when a refused caller is told to come back."""
@@ -19,7 +19,7 @@
 turn: entries that don't know of each other's refusals must not name the same moments."""
 
 
-class ReturnTimes:
+class RetryTimes:
     """Gives refused callers their turns, by service and priority. Times are the steady clock."""
 
     def __init__(self) -> None:
--- a/dalemast/core/scheduling/scheduler.py
+++ b/dalemast/core/scheduling/scheduler.py
@@ -13,30 +13,31 @@
 from dalemast.core.scheduling.actions import (
     NEVER_STARTED,
     Action,
+    CapacityRequest,
     EndReason,
     JobFinished,
     JobState,
     RunPresumedOver,
     StopTask,
     TaskGivenUp,
-    Want,
 )
 from dalemast.core.scheduling.base import BaseOrder, BasePlacement
+from dalemast.core.scheduling.capacity_requests import CapacityRequests
 from dalemast.core.scheduling.choices import WorkerChoice
 from dalemast.core.scheduling.crashes import Crash, CrashedTask, CrashRecords
-from dalemast.core.scheduling.demand import DemandBook, sum_up_waiting
+from dalemast.core.scheduling.demand import DemandTracker, summarize_waiting
 from dalemast.core.scheduling.departures import DepartureMoves, is_plausible
 from dalemast.core.scheduling.dispatching import Dispatcher
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.forecasts import DemandElsewhere, Forecasts
-from dalemast.core.scheduling.hopeless import SeenWorkers
+from dalemast.core.scheduling.infeasible import KnownWorkerKinds
 from dalemast.core.scheduling.jobs import ON_WORKER, START_MARGIN, Job, Task, TaskPhase
 from dalemast.core.scheduling.load import (
-    NOTHING_ASKED,
-    ComingRoom,
-    CutShort,
+    DEFAULT_LOAD_POLICY,
+    CapacityRelease,
+    DepartureRisk,
     LoadPolicy,
-    LoadWord,
+    QueuedDemand,
     WorkerSpeed,
 )
 from dalemast.core.scheduling.numbers import RunNumbers
@@ -53,7 +54,6 @@
 from dalemast.core.scheduling.preemption import PreemptingOrder, Preemption
 from dalemast.core.scheduling.refusals import Refusals
 from dalemast.core.scheduling.speeds import KnownSpeeds
-from dalemast.core.scheduling.wants import RoomWants
 from dalemast.core.scheduling.workers import RoomReport, SlowRun, WorkerView
 from dalemast.core.workloads import JobRequest, Resources, TaskKey
 
@@ -81,7 +81,7 @@
         placement: BasePlacement,
         limits: SchedulerLimits,
         started_at: float,
-        policy: LoadPolicy = NOTHING_ASKED,
+        policy: LoadPolicy = DEFAULT_LOAD_POLICY,
         elsewhere: DemandElsewhere | None = None,
     ) -> None:
         self._limits = limits
@@ -97,7 +97,7 @@
             placement=placement, workers=self._workers, by_slack=policy.learns_speeds
         )
         self._speeds = KnownSpeeds(workers=self._workers)
-        self._wants = RoomWants(order=order)
+        self._wants = CapacityRequests(order=order)
         self._preemption = Preemption(is_asked=policy.preempts, stop_s=limits.stop_s)
         self._dispatcher = Dispatcher(
             jobs=self._jobs,
@@ -117,10 +117,10 @@
             run_times=self._run_times,
         )
         self._numbers = RunNumbers()
-        self._demand = DemandBook()
+        self._demand = DemandTracker()
         placement.read_demand(self._demand)
         self._crashes = CrashRecords(open_jobs=self._jobs)
-        self._seen = SeenWorkers(started_at=started_at)
+        self._seen = KnownWorkerKinds(started_at=started_at)
         self._forecasts = Forecasts(
             jobs=self._jobs,
             workers=self._workers,
@@ -153,7 +153,7 @@
         return self._jobs
 
     @property
-    def demand(self) -> DemandBook:
+    def demand(self) -> DemandTracker:
         """What waits at the other entries, by their words."""
         return self._demand
 
@@ -170,7 +170,7 @@
             if task.phase in ON_WORKER
         }
 
-    def get_want(self, worker: str) -> Want | None:
+    def get_want(self, worker: str) -> CapacityRequest | None:
         """Return what this owner lacks room for on workers like this one."""
         view = self._workers.get(worker)
         return None if view is None else self._wants.get(view.service)
@@ -192,12 +192,12 @@
         )
         self._jobs[request.id] = job
         self._placement.note_job(request, self._run_times, now=now)
-        if self._seen.is_hopeless(request, now=now):
+        if self._seen.is_infeasible(request, now=now):
             return [self._finish(job, JobState.FAILED, "no worker can ever hold it", now)]
         self._forecasts.note(job)
         given_up = self._judge(job, now)
         actions = [*given_up, *self.dispatch(now=now)]
-        if not given_up and self._refusals.is_in_vain(job, now=now):
+        if not given_up and self._refusals.is_forecast_late(job, now=now):
             actions += self._serve_or_refuse([job], now)
         return actions
 
@@ -222,15 +222,15 @@
             for task in runs
         ]
         for over in unseen:
-            crash = Crash(life=over.worker, age_s=None, is_seen=False)
-            self._crashes.note(job_id, over.task, crash, now=now)
+            crash = Crash(incarnation=over.worker, age_s=None, is_observed=False)
+            self._crashes.record(job_id, over.task, crash, now=now)
         return [*self.cancel(job_id), *unseen]
 
     def add_worker(self, view: WorkerView, *, now: float) -> None:
         """Take in a worker that its agent announced."""
         self._workers[view.name] = view
         view.is_evacuated = view.data_centre in self._evacuated
-        self._refusals.note_found_worker(now=now)
+        self._refusals.note_new_worker(now=now)
         self._seen.add(view)
         self._speeds.note_added(view)
 
@@ -267,9 +267,9 @@
         if view.is_accepting and view.free.cpu >= self._dispatcher.least_waiting_cpu:
             actions = self.dispatch(now=now)
         moves = self._departures.review(now=now)
-        return [*actions, *moves, *self._wants.answer_offer(view, actions)]
+        return [*actions, *moves, *self._wants.decline_unneeded_offer(view, actions)]
 
-    def note_coming_room(self, name: str, rows: tuple[ComingRoom, ...], *, now: float) -> None:
+    def note_coming_room(self, name: str, rows: tuple[CapacityRelease, ...], *, now: float) -> None:
         """Take in when room comes free on a worker."""
         view = self._workers.get(name)
         if view is not None:
@@ -291,7 +291,7 @@
             self._departures.forget_worker(name)
 
     def note_cut_short(
-        self, name: str, job_id: str, key: TaskKey, run: int, report: CutShort, *, now: float
+        self, name: str, job_id: str, key: TaskKey, run: int, report: DepartureRisk, *, now: float
     ) -> list[Action]:
         """Take in that a worker is expected to leave before a run there ends."""
         job = self._jobs.get(job_id)
@@ -303,19 +303,19 @@
         self._departures.note(job, task, report, now=now)
         return self._departures.review(now=now)
 
-    def note_demand(self, entry: str, words: tuple[LoadWord, ...], *, now: float) -> bool:
+    def note_demand(self, entry: str, words: tuple[QueuedDemand, ...], *, now: float) -> bool:
         """Take in all that waits at another entry; return False if it is not used."""
-        return self._policy.shares_demand and self._demand.note(entry, words, now)
+        return self._policy.shares_demand and self._demand.record(entry, words, now)
 
     def forget_demand(self, entry: str) -> None:
         """Note that another entry is out of reach."""
         self._demand.forget(entry)
 
-    def get_demand(self, *, now: float) -> tuple[LoadWord, ...]:
+    def get_demand(self, *, now: float) -> tuple[QueuedDemand, ...]:
         """Return what waits here, for the other entries."""
         if not self._policy.shares_demand:
             return ()
-        return sum_up_waiting(self._jobs.values(), self._run_times, now=now)
+        return summarize_waiting(self._jobs.values(), self._run_times, now=now)
 
     def lose_worker(self, name: str, *, now: float) -> list[Action]:
         """Note that a worker's agent is out of reach; its runs may go on for a while."""
@@ -371,8 +371,10 @@
         """
         suspects: dict[str, Job] = {}
         for row in tasks:
-            crash = Crash(life=life, age_s=row.age_s, is_seen=is_seen, has_begun=row.has_begun)
-            is_news = self._crashes.note(row.job_id, row.task, crash, now=now)
+            crash = Crash(
+                incarnation=life, age_s=row.age_s, is_observed=is_seen, has_begun=row.has_begun
+            )
+            is_news = self._crashes.record(row.job_id, row.task, crash, now=now)
             job = self._jobs.get(row.job_id)
             if job is None:
                 continue
@@ -558,7 +560,9 @@
             return []
         self._set_suspicions(job)
         open_tasks = (key for key, task in job.tasks.items() if task.phase is not TaskPhase.DONE)
-        guilty = next((key for key in open_tasks if self._crashes.is_guilty(job_id, key)), None)
+        guilty = next(
+            (key for key in open_tasks if self._crashes.should_give_up(job_id, key)), None
+        )
         if guilty is None:
             return []
         crashes = self._crashes.get(job_id, guilty)
@@ -569,7 +573,7 @@
 
     def _clear_unseen(self, life: str) -> None:
         """Note that a worker's life is there, so that it has not ended."""
-        for job_id in self._crashes.clear_unseen(life) & self._jobs.keys():
+        for job_id in self._crashes.clear_unconfirmed(life) & self._jobs.keys():
             self._set_suspicions(self._jobs[job_id])
 
     def _set_suspicions(self, job: Job) -> None:
@@ -590,8 +594,8 @@
         task.has_given_way = True
         job.leave_worker(task)
         job.set_waiting(task)
-        unseen = Crash(life=over.worker, age_s=None, is_seen=False)
-        self._crashes.note(job.request.id, task.key, unseen, now=now)
+        unseen = Crash(incarnation=over.worker, age_s=None, is_observed=False)
+        self._crashes.record(job.request.id, task.key, unseen, now=now)
         return over
 
     def _serve_or_refuse(self, jobs: list[Job], now: float) -> list[Action]:
--- a/dalemast/core/scheduling/suiting.py
+++ b/dalemast/core/scheduling/speed_bounds.py
@@ -12,7 +12,7 @@
 
 from dalemast.core.scheduling.jobs import LATE_FACTOR, Job
 
-__all__ = ["get_slowest", "get_slowest_late", "get_slowness_bound"]
+__all__ = ["get_max_slowness", "get_max_slowness_late", "get_slowness_bound"]
 
 SPEED_MARGIN = 1.05
 """How much slower a worker may be than its agent's word: the error of a full record."""
@@ -21,12 +21,12 @@
 of time-outs, at one of which it would be refused."""
 
 
-def get_slowest(job: Job, *, now: float) -> float:
+def get_max_slowness(job: Job, *, now: float) -> float:
     """Return the greatest slowness at which a job that goes on now is on time."""
     return _divide(job, job.arrived_at + job.objective_s - now)
 
 
-def get_slowest_late(job: Job, *, now: float) -> float:
+def get_max_slowness_late(job: Job, *, now: float) -> float:
     """Return the greatest slowness at which a job that goes on now is late, but of some use."""
     return _divide(job, job.arrived_at + LATE_FACTOR * job.objective_s - now)
 
@@ -38,9 +38,9 @@
     comes free until the job must have begun. Then, or without any such worker, late is better than
     never.
     """
-    bound = get_slowest(job, now=now)
+    bound = get_max_slowness(job, now=now)
     is_hopeful = quickest <= bound and now < job.latest_start - LAST_LOOK_S
-    return bound if is_hopeful else max(bound, get_slowest_late(job, now=now))
+    return bound if is_hopeful else max(bound, get_max_slowness_late(job, now=now))
 
 
 def _divide(job: Job, left_s: float) -> float:
--- a/dalemast/core/scheduling/workers.py
+++ b/dalemast/core/scheduling/workers.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
-from dalemast.core.scheduling.coming import age_coming, is_coming_sound
-from dalemast.core.scheduling.load import ComingRoom, WorkerSpeed
+from dalemast.core.scheduling.capacity_releases import age_releases, are_releases_valid
+from dalemast.core.scheduling.load import CapacityRelease, WorkerSpeed
 from dalemast.core.workloads import Resources
 
 __all__ = ["RoomReport", "SlowRun", "WorkerView"]
@@ -88,7 +88,7 @@
         self._slowness = 1.0
         self._learned_at = 0.0
         self._failed_share = 0.0
-        self.coming: tuple[ComingRoom, ...] = ()
+        self.coming: tuple[CapacityRelease, ...] = ()
         """Room that comes free, by the agent's last word, soonest first."""
         self.coming_told_at = 0.0
         """When that was told, by the owner's steady clock."""
@@ -180,17 +180,17 @@
         self._free += capacity - self._capacity
         self._capacity = capacity
 
-    def set_coming(self, rows: tuple[ComingRoom, ...], *, now: float) -> None:
+    def set_coming(self, rows: tuple[CapacityRelease, ...], *, now: float) -> None:
         """Take in an agent's word on room that comes free; one that can't be true says nothing."""
-        self.coming = rows if is_coming_sound(rows) else ()
+        self.coming = rows if are_releases_valid(rows) else ()
         self.coming_told_at = now
 
-    def get_coming(self, now: float) -> tuple[ComingRoom, ...]:
+    def get_coming(self, now: float) -> tuple[CapacityRelease, ...]:
         """Return the room that still comes free, counted from now; none if it takes no starts."""
         if not self.is_accepting:
             return ()
-        most_cpu = self._capacity.cpu - max(self._free.cpu, 0)
-        return age_coming(self.coming, age_s=now - self.coming_told_at, most_cpu=most_cpu)
+        max_cpu = self._capacity.cpu - max(self._free.cpu, 0)
+        return age_releases(self.coming, age_s=now - self.coming_told_at, max_cpu=max_cpu)
 
     def suspend(self) -> None:
         """Send it nothing until the next report."""
--- a/dalemast/core/supervision/actions.py
+++ b/dalemast/core/supervision/actions.py
@@ -89,7 +89,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportCutShort:
-    """Tell an owner of a run that its worker can't end, as in ``CutShort``. Times are seconds."""
+    """Tell an owner of a run that its worker can't end, as in ``DepartureRisk``.
+
+    Times are seconds.
+    """
 
     owner: str
     run_id: RunId
--- a/dalemast/core/supervision/audience.py
+++ b/dalemast/core/supervision/audience.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from dalemast.core.scheduling.actions import Want
+from dalemast.core.scheduling.actions import CapacityRequest
 
 __all__ = ["RoomAudience", "find_neediest", "get_room_pause", "get_turn"]
 
@@ -67,7 +67,7 @@
         self._is_urgent = False
         self._told_at = float("-inf")
         self._was_first_at = float("-inf")
-        self.want: Want | None = None
+        self.want: CapacityRequest | None = None
         """What the owner lacks room for, by its last word."""
 
     @property
@@ -85,7 +85,7 @@
         """When others last heard of a change right after it."""
         return self._was_first_at
 
-    def take_want(self, want: Want | None, *, hears_coming: bool) -> None:
+    def take_want(self, want: CapacityRequest | None, *, hears_coming: bool) -> None:
         """Take in what the owner lacks room for.
 
         One that ``hears_coming`` room was told of none while it was content, so a report is due.
--- a/dalemast/core/supervision/coming.py
+++ b/dalemast/core/supervision/coming.py
@@ -9,8 +9,8 @@
 import math
 from collections.abc import Iterable
 
-from dalemast.core.scheduling.coming import MOST_STEPS
-from dalemast.core.scheduling.load import ComingRoom
+from dalemast.core.scheduling.capacity_releases import MAX_STEPS
+from dalemast.core.scheduling.load import CapacityRelease
 from dalemast.core.supervision.runs import MIN_AGE_S, Run, RunPhase
 
 __all__ = ["list_coming"]
@@ -19,21 +19,21 @@
 """Ends within a hundredth of a second are one step; estimates err by more."""
 
 
-def list_coming(runs: Iterable[Run], *, now: float) -> tuple[ComingRoom, ...]:
+def list_coming(runs: Iterable[Run], *, now: float) -> tuple[CapacityRelease, ...]:
     """Return the steps in which what runs frees its room, soonest first.
 
     The first step holds the next end, and each further one twice as many as the one before, the
     last one all that is left: what is soon decides most. A step's time is that of its last end.
     """
     ends = _sum_up_ends(runs, now)
-    steps: list[ComingRoom] = []
+    steps: list[CapacityRelease] = []
     width = 1
     while ends:
-        if len(steps) == MOST_STEPS - 1:
+        if len(steps) == MAX_STEPS - 1:
             width = len(ends)
         group, ends = ends[:width], ends[width:]
         cpu = sum(cpu for _, cpu in group)
-        steps.append(ComingRoom(in_s=group[-1][0] / GRAINS_PER_S, cpu=cpu))
+        steps.append(CapacityRelease(in_s=group[-1][0] / GRAINS_PER_S, cpu=cpu))
         width *= 2
     return tuple(steps)
 
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from dalemast.core.scheduling.actions import Want
+from dalemast.core.scheduling.actions import CapacityRequest
 from dalemast.core.supervision.base import RunId
 from dalemast.core.supervision.runs import MIN_AGE_S, Run, RunPhase
 
@@ -83,7 +83,7 @@
     capacity_cpu: int
     budget_core_s: float
 
-    def choose(self, runs: Iterable[Run], want: Want, *, now: float) -> list[Run]:
+    def choose(self, runs: Iterable[Run], want: CapacityRequest, *, now: float) -> list[Run]:
         """Return the runs that make room for one task together, or none if they can't.
 
         Those that lose the least work go first.
@@ -188,7 +188,9 @@
         """Tell whether room is being made for an owner, or kept for it."""
         return owner in self._open
 
-    def begin(self, owner: str, want: Want, victims: Iterable[Run], *, now: float) -> None:
+    def begin(
+        self, owner: str, want: CapacityRequest, victims: Iterable[Run], *, now: float
+    ) -> None:
         """Note that these runs are stopped for an owner."""
         assert want.preempts_from is not None
         self._open[owner] = _Takeover(
--- a/dalemast/core/supervision/supervisor.py
+++ b/dalemast/core/supervision/supervisor.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from dalemast.core.scheduling.actions import EndReason, Want
-from dalemast.core.scheduling.load import NOTHING_ASKED, ComingRoom, LoadPolicy
+from dalemast.core.scheduling.actions import CapacityRequest, EndReason
+from dalemast.core.scheduling.load import DEFAULT_LOAD_POLICY, CapacityRelease, LoadPolicy
 from dalemast.core.supervision.acceptance import Acceptance
 from dalemast.core.supervision.actions import (
     Action,
@@ -76,7 +76,9 @@
 class Supervisor:
     """Keeps one worker's room and runs. Every method returns the actions that follow."""
 
-    def __init__(self, *, limits: SupervisorLimits, policy: LoadPolicy = NOTHING_ASKED) -> None:
+    def __init__(
+        self, *, limits: SupervisorLimits, policy: LoadPolicy = DEFAULT_LOAD_POLICY
+    ) -> None:
         self._limits = limits
         self._policy = policy
         self._lives = WorkerLives()
@@ -188,7 +190,7 @@
         """Return how slow the jobs that run show the worker to be, or 0 if they are too few."""
         return get_sure_pace(self._runs.values())
 
-    def get_coming(self, *, now: float) -> tuple[ComingRoom, ...]:
+    def get_coming(self, *, now: float) -> tuple[CapacityRelease, ...]:
         """Return when room comes free for starts, soonest first."""
         return list_coming(self._runs.values(), now=now) if self.is_accepting(now=now) else ()
 
@@ -355,7 +357,9 @@
             return []
         return [self._begin_stop(run, now)]
 
-    def preempt(self, owner: str, want: Want, *, said_at: float, now: float) -> list[Action]:
+    def preempt(
+        self, owner: str, want: CapacityRequest, *, said_at: float, now: float
+    ) -> list[Action]:
         """Stop less urgent runs for a job that finds no room, if that is worth what is lost.
 
         ``said_at`` is when the owner said so at the earliest, by this agent's steady clock.
@@ -468,7 +472,7 @@
         run.stopping_since = now
         return OrderStop(run_id=run.request.run_id)
 
-    def _preempt_run(self, run: Run, want: Want, now: float) -> PreemptRun:
+    def _preempt_run(self, run: Run, want: CapacityRequest, now: float) -> PreemptRun:
         """Tell a run to give way. It counts as going until the worker has shown that it ended."""
         assert want.preempts_from is not None
         self._begin_stop(run, now)
--- a/dalemast/emulator/simulation.py
+++ b/dalemast/emulator/simulation.py
@@ -13,23 +13,23 @@
 from dataclasses import dataclass, replace
 
 from dalemast.core.scheduling import (
-    NOTHING_ASKED,
-    AskRoom,
+    DEFAULT_LOAD_POLICY,
+    CapacityRequest,
     EndReason,
     FastestPlacement,
     JobFinished,
     JobRefused,
     LoadPolicy,
+    RequestCapacity,
     RoomReport,
     Scheduler,
     SchedulerLimits,
     StartTask,
-    Want,
     WorkerView,
 )
 from dalemast.core.scheduling import Action as OwnerAction
 from dalemast.core.scheduling.base import BaseOrder
-from dalemast.core.scheduling.telling import DemandAudience, get_news_pause_s
+from dalemast.core.scheduling.demand_reports import DemandSubscriber, get_report_interval_s
 from dalemast.core.supervision import Action as AgentAction
 from dalemast.core.supervision import (
     EndedRun,
@@ -89,7 +89,7 @@
     tells_at_once: bool = False
     crash_per_s: float = 0.0
     """How often each worker crashes by itself, whatever runs there."""
-    policy: LoadPolicy = NOTHING_ASKED
+    policy: LoadPolicy = DEFAULT_LOAD_POLICY
     """The decisions under load that owners and agents make."""
 
     def see_at_once(self) -> FleetShape:
@@ -137,7 +137,7 @@
             )
             for _ in range(owners)
         ]
-        self._audiences = [DemandAudience() for _ in range(owners)]
+        self._audiences = [DemandSubscriber() for _ in range(owners)]
         self._agents = [
             SimulatedAgent(simulation=self, number=n, owners=owners) for n in range(shape.workers)
         ]
@@ -207,13 +207,13 @@
     def _share_demand(self, owner: int) -> None:
         """Tell all other owners what waits with this one, if that is due."""
         words = self._owners[owner].get_demand(now=self._now)
-        pause_s = get_news_pause_s(len(self._owners) - 1)
+        pause_s = get_report_interval_s(len(self._owners) - 1)
         audience = self._audiences[owner]
         if not audience.is_due(
-            words, now=self._now, news_pause_s=pause_s, renewal_pause_s=WORD_RENEWAL_S
+            words, now=self._now, report_interval_s=pause_s, renewal_interval_s=WORD_RENEWAL_S
         ):
             return
-        audience.note_told(words, now=self._now)
+        audience.record_sent(words, now=self._now)
         for other in range(len(self._owners)):
             if other != owner:
                 self.words += 1
@@ -229,13 +229,13 @@
                         self._now + self.shape.message_s,
                         lambda agent=agent, start=action, want=want: agent.take(owner, start, want),
                     )
-                case AskRoom():
+                case RequestCapacity():
                     self.questions += len(action.workers)
                     for name in action.workers:
                         agent = self._agents[get_number(name)]
                         self.at(
                             self._now + self.shape.message_s,
-                            lambda agent=agent, want=action.want: agent.take_want(owner, want),
+                            lambda agent=agent, want=action.request: agent.take_want(owner, want),
                         )
                 case JobFinished():
                     self._ends[action.job.id] = JobEnd(state=action.state, at=self._now)
@@ -314,7 +314,7 @@
             audience.hasten()
         self._tell_room()
 
-    def take_want(self, owner: int, want: Want | None) -> None:
+    def take_want(self, owner: int, want: CapacityRequest | None) -> None:
         """Take in what an owner lacks room for."""
         hears_coming = self._simulation.shape.policy.shares_demand
         self._audiences[owner].take_want(want, hears_coming=hears_coming)
@@ -326,7 +326,7 @@
         elif self._simulation.shape.policy.preempts:
             self._apply(self._supervisor.preempt(str(owner), want, said_at=now, now=now))
 
-    def take(self, owner: int, start: StartTask, want: Want | None) -> None:
+    def take(self, owner: int, start: StartTask, want: CapacityRequest | None) -> None:
         """Take a start, and what its owner still lacks room for."""
         self._audiences[owner].want = want
         self._seen[owner] = max(self._seen[owner], start.number)
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -6,7 +6,7 @@
 
 from dalemast import clock
 from dalemast.core.ownership import LinkBounds
-from dalemast.core.scheduling import CrashedTask, LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, CrashedTask, LoadPolicy
 from dalemast.core.supervision import (
     ReportCutShort,
     ReportEnd,
@@ -71,7 +71,7 @@
         metrics: Metrics,
         start: Callable[[StartRequest], None],
         stop: Callable[[RunId, str], None],
-        take_want: Callable[[str, Want | None, float], None],
+        take_want: Callable[[str, CapacityRequest | None, float], None],
         check_pause: Callable[[], bool],
     ) -> None:
         self._name = name
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -9,7 +9,7 @@
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.ownership import LinkBounds
-from dalemast.core.scheduling import LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import Supervisor, SupervisorLimits
 from dalemast.fleet.agent.owners import OwnerLinks
 from dalemast.fleet.agent.worker import WorkerLoop
@@ -163,5 +163,5 @@
             await asyncio.sleep(STORE_RETRY_S)
 
 
-def _pass_over(owner: str, want: Want | None, said_at: float) -> None:
+def _pass_over(owner: str, want: CapacityRequest | None, said_at: float) -> None:
     """Make no room for an owner: the deployment does not ask for preemption."""
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 
 from dalemast import clock
-from dalemast.core.scheduling import LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import RunId, Supervisor, find_neediest, get_room_pause, get_turn
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
@@ -37,12 +37,12 @@
     )
 
 
-def to_want(row: WantRow | None) -> Want | None:
+def to_want(row: WantRow | None) -> CapacityRequest | None:
     """Return what an entry's message says that it lacks room for."""
     if row is None:
         return None
     preempts_from = None if row.preempts_from < 0 else row.preempts_from
-    return Want(rank=row.rank, cpu=row.cpu, preempts_from=preempts_from)
+    return CapacityRequest(rank=row.rank, cpu=row.cpu, preempts_from=preempts_from)
 
 
 def make_leaving(in_s: float | None) -> WorkerLeaving:
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from dalemast import clock
-from dalemast.core.scheduling import EndReason, Want
+from dalemast.core.scheduling import CapacityRequest, EndReason
 from dalemast.core.supervision import (
     Action,
     LookSchedule,
@@ -126,7 +126,7 @@
         """Take an owner's stop."""
         self.apply(self._supervisor.stop(run_id, owner=owner, now=clock.monotonic()))
 
-    def take_want(self, owner: str, want: Want | None, said_at: float) -> None:
+    def take_want(self, owner: str, want: CapacityRequest | None, said_at: float) -> None:
         """Make room for an owner that asks for it, or give back what was kept for it."""
         now = clock.monotonic()
         if want is None:
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -9,10 +9,10 @@
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.scheduling import (
     Action,
-    AskRoom,
-    ComingRoom,
-    CutShort,
+    CapacityRelease,
+    DepartureRisk,
     EndReason,
+    RequestCapacity,
     RoomReport,
     Scheduler,
     SlowRun,
@@ -152,9 +152,9 @@
             if session is not None:
                 session.link.send(Stop(run=make_row(stop.job_id, stop.task, stop.run)))
 
-    def ask(self, asked: AskRoom) -> None:
+    def ask(self, asked: RequestCapacity) -> None:
         """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_want(asked.want))
+        message = Wants(want=make_want(asked.request))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -326,7 +326,7 @@
         self._apply(self._scheduler.update_worker(session.worker, report, now=now))
 
     def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
-        rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
+        rows = tuple(CapacityRelease(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
         self._scheduler.note_coming_room(session.worker, rows, now=clock.monotonic())
 
     def _note_leaving(self, session: AgentSession, news: WorkerLeaving) -> None:
@@ -350,7 +350,7 @@
 
     def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
         row = news.run
-        report = CutShort(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
+        report = DepartureRisk(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
         key = TaskKey(row.step, row.position)
         actions = self._scheduler.note_cut_short(
             session.worker, row.job, key, row.run, report, now=clock.monotonic()
@@ -371,7 +371,9 @@
     def make_hearsay(self) -> list[Crashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
-        return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
+        return [
+            make_crashed(end.incarnation, rows, is_seen=end.is_observed) for end, rows in crashes
+        ]
 
     def _take_crash(self, news: Crashed, *, is_hearsay: bool) -> None:
         actions = self._scheduler.note_crash(
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from dalemast import clock
-from dalemast.core.scheduling import LoadWord, Scheduler
-from dalemast.core.scheduling.telling import get_news_pause_s
+from dalemast.core.scheduling import QueuedDemand, Scheduler
+from dalemast.core.scheduling.demand_reports import get_report_interval_s
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.frames import DemandNews, DemandRow
@@ -45,19 +45,19 @@
             return
         self._drop_faded(beat_s, now)
         words = self._scheduler.get_demand(now=now)
-        news_pause_s = get_news_pause_s(len(sessions))
+        report_interval_s = get_report_interval_s(len(sessions))
         due = [
             session
             for session in sessions
             if session.demand.is_due(
-                words, now=now, news_pause_s=news_pause_s, renewal_pause_s=beat_s
+                words, now=now, report_interval_s=report_interval_s, renewal_interval_s=beat_s
             )
         ]
         if not due:
             return
         news = msgspec.Raw(encode_message(_make_news(words)))
         for session in due:
-            session.demand.note_told(words, now=now)
+            session.demand.record_sent(words, now=now)
             session.link.send(news)
         self._metrics.count("demand.told", len(due))
         self._log_waiting(words, now)
@@ -67,7 +67,7 @@
         if not self._is_on:
             return
         words = tuple(
-            LoadWord(
+            QueuedDemand(
                 service=row.service,
                 priority=row.priority,
                 data_centre=member.data_centre,
@@ -99,15 +99,15 @@
                 self._names.get(heard.entry, heard.entry): {
                     "incarnation": heard.entry,
                     "age_s": round(heard.age_s, 3),
-                    "words": [_describe(word) for word in heard.words],
+                    "words": [_describe(word) for word in heard.demand],
                 }
-                for heard in self._scheduler.demand.list_heard(now)
+                for heard in self._scheduler.demand.list_peer_demand(now)
             },
         }
 
     def _drop_faded(self, beat_s: float, now: float) -> None:
         book = self._scheduler.demand
-        book.set_pause(beat_s)
+        book.set_renewal_interval(beat_s)
         faded = book.sweep(now)
         if not faded:
             return
@@ -116,15 +116,15 @@
             names = [self._names.get(entry, entry) for entry in faded]
             log_event("demand:faded", peers=names)
 
-    def _log_waiting(self, words: tuple[LoadWord, ...], now: float) -> None:
+    def _log_waiting(self, words: tuple[QueuedDemand, ...], now: float) -> None:
         if not self._may_log("demand:waiting", now):
             return
-        heard = self._scheduler.demand.list_heard(now)
+        heard = self._scheduler.demand.list_peer_demand(now)
         log_event(
             "demand:waiting",
             own=[_describe(word) for word in words],
             entries=len(heard),
-            core_s=round(sum(word.core_s for row in heard for word in row.words), 2),
+            core_s=round(sum(word.core_s for row in heard for word in row.demand), 2),
             oldest_s=round(max((row.age_s for row in heard), default=0.0), 3),
         )
 
@@ -136,7 +136,7 @@
         return True
 
 
-def _make_news(words: tuple[LoadWord, ...]) -> DemandNews:
+def _make_news(words: tuple[QueuedDemand, ...]) -> DemandNews:
     return DemandNews(
         rows=tuple(
             DemandRow(
@@ -150,7 +150,7 @@
     )
 
 
-def _describe(word: LoadWord) -> dict[str, object]:
+def _describe(word: QueuedDemand) -> dict[str, object]:
     """Return a word's row for operators."""
     return {
         "service": word.service,
--- a/dalemast/fleet/entry/desk.py
+++ b/dalemast/fleet/entry/desk.py
@@ -11,11 +11,11 @@
 from dalemast.core.ownership import Granted, Held
 from dalemast.core.scheduling import (
     Action,
-    AskRoom,
     Forecast,
     JobFinished,
     JobRefused,
     JobState,
+    RequestCapacity,
     RunMoved,
     RunPresumedOver,
     Scheduler,
@@ -92,7 +92,7 @@
         times: FleetTimes,
         metrics: Metrics,
         send: Callable[[list[StartTask], list[StopTask]], None],
-        ask: Callable[[AskRoom], None],
+        ask: Callable[[RequestCapacity], None],
         check_pause: Callable[[], bool],
         tell_unseen: Callable[[RunPresumedOver], None] = lambda action: None,
     ) -> None:
@@ -184,7 +184,7 @@
                 self._finish(action, [stop for stop in stops if stop.job_id == action.job.id])
             elif isinstance(action, JobRefused):
                 self._refuse(action)
-            elif isinstance(action, AskRoom):
+            elif isinstance(action, RequestCapacity):
                 self._ask(action)
             elif isinstance(action, TaskGivenUp):
                 self._note_given_up(action)
@@ -381,9 +381,9 @@
             queue=action.job.queue.name,
             step=action.task.step,
             position=action.task.position,
-            workers=[crash.life for crash in action.crashes],
+            workers=[crash.incarnation for crash in action.crashes],
             ages_s=[crash.age_s and round(crash.age_s, 3) for crash in action.crashes],
-            is_seen=[crash.is_seen for crash in action.crashes],
+            is_seen=[crash.is_observed for crash in action.crashes],
         )
 
     def _note_presumed_over(self, action: RunPresumedOver) -> None:
--- a/dalemast/fleet/entry/peer_sessions.py
+++ b/dalemast/fleet/entry/peer_sessions.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from dalemast import clock
-from dalemast.core.scheduling.telling import DemandAudience
+from dalemast.core.scheduling.demand_reports import DemandSubscriber
 from dalemast.fleet.base import Member
 from dalemast.fleet.frames import PeerMessage
 from dalemast.fleet.links import BaseLink
@@ -43,7 +43,7 @@
         self.is_ending = False
         self.told: tuple[str, ...] = ()
         """The ids that this entry's own greeting told as claimed."""
-        self.demand = DemandAudience()
+        self.demand = DemandSubscriber()
         """What the other entry was told on this link of the work that waits."""
         self._links = links
 
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import StartTask, Want
+from dalemast.core.scheduling import CapacityRequest, StartTask
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import RunRow, StartRow, Starts, WantRow
 
@@ -14,7 +14,7 @@
     return RunRow(job=job_id, step=task.step, position=task.position, run=run)
 
 
-def make_want(want: Want | None) -> WantRow | None:
+def make_want(want: CapacityRequest | None) -> WantRow | None:
     """Return what an owner lacks room for, to a tenth of a millisecond."""
     if want is None:
         return None
@@ -25,7 +25,7 @@
     )
 
 
-def make_starts(group: list[StartTask], want: Want | None) -> Starts:
+def make_starts(group: list[StartTask], want: CapacityRequest | None) -> Starts:
     """Return the message that starts tasks of one job on one worker, with its text once."""
     rows = []
     for start in group:
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -162,7 +162,7 @@
 
 
 class WantRow(Message, frozen=True):
-    """What an owner lacks room for, as in :class:`dalemast.core.scheduling.Want`.
+    """What an owner lacks room for, as in :class:`dalemast.core.scheduling.CapacityRequest`.
 
     ``preempts_from`` is negative if no run may give way.
     """
@@ -246,7 +246,7 @@
 
 
 class ComingRow(Message, frozen=True):
-    """Room that comes free, as in :class:`dalemast.core.scheduling.ComingRoom`."""
+    """Room that comes free, as in :class:`dalemast.core.scheduling.CapacityRelease`."""
 
     in_s: float
     cpu: int
@@ -272,7 +272,7 @@
 
 
 class RunCutShort(Message, frozen=True, tag="X"):
-    """A run that can't end in time, as in :class:`dalemast.core.scheduling.CutShort`."""
+    """A run that can't end in time, as in :class:`dalemast.core.scheduling.DepartureRisk`."""
 
     run: RunRow
     left_s: float
@@ -354,7 +354,7 @@
 
 
 class DemandRow(Message, frozen=True):
-    """What waits at the sender, as in :class:`dalemast.core.scheduling.LoadWord`."""
+    """What waits at the sender, as in :class:`dalemast.core.scheduling.QueuedDemand`."""
 
     service: str
     priority: int
--- a/tests/bench/test_policies.py
+++ b/tests/bench/test_policies.py
@@ -8,7 +8,7 @@
 
 from dalemast.bench.policies import Play, make_simulation, play
 from dalemast.core.scheduling import LoadPolicy
-from dalemast.core.scheduling.telling import WORDS_PER_S
+from dalemast.core.scheduling.demand_reports import REPORTS_PER_S
 
 ORDER = "dalemast.core.scheduling.PriorityOrder"
 
@@ -34,7 +34,7 @@
         sharing = make_simulation(replace(asked, policy=LoadPolicy(shares_demand=True)))
         outcome = sharing.run(until_s=25.0)
         self.assertGreater(sharing.words, 0)
-        self.assertLessEqual(sharing.words, 4 * WORDS_PER_S * 25.0)
+        self.assertLessEqual(sharing.words, 4 * REPORTS_PER_S * 25.0)
         self.assertGreater(outcome.worth, 0.5)
         alone = make_simulation(asked)
         alone.run(until_s=25.0)
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -11,8 +11,8 @@
     BalancedPlacement,
     EndReason,
     LoadPolicy,
-    LoadWord,
     PriorityOrder,
+    QueuedDemand,
     RoomReport,
     Scheduler,
     SchedulerLimits,
@@ -20,8 +20,8 @@
     WorkerView,
     choices,
 )
-from dalemast.core.scheduling.balance import TURN_GAIN, Outlook, SpillOver
-from dalemast.core.scheduling.demand import MOST_ENTRIES, MOST_ROWS
+from dalemast.core.scheduling.balance import SWITCH_GAIN, DataCentreOption, SpillOver
+from dalemast.core.scheduling.demand import MAX_ENTRIES, MAX_ROWS
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.racks import HALF_LIFE_S, MAX_RACKS, RackDemand
 from dalemast.core.workloads import Resources
@@ -174,14 +174,12 @@
         self.assertEqual({NEAR: 4}, self.submit_many(2))
 
     def test_words_are_bounded(self) -> None:
-        words = tuple(
-            self.make_word(NEAR, core_s=8.0, priority=row) for row in range(MOST_ROWS + 1)
-        )
+        words = tuple(self.make_word(NEAR, core_s=8.0, priority=row) for row in range(MAX_ROWS + 1))
         self.assertFalse(self.scheduler.note_demand("many", words, now=10.0))
         self.assertEqual({NEAR: 4}, self.submit_many(2))
-        for number in range(2 * MOST_ENTRIES):
+        for number in range(2 * MAX_ENTRIES):
             self.scheduler.note_demand(f"e{number}", words[1:], now=10.0)
-        self.assertEqual(MOST_ENTRIES, len(self.scheduler.demand))
+        self.assertEqual(MAX_ENTRIES, len(self.scheduler.demand))
 
     def test_a_word_fades_as_it_does_for_forecasts(self) -> None:
         """It is 0.8 s old: of use to nobody after three pauses between renewals."""
@@ -199,8 +197,8 @@
         word = self.make_word(place, core_s=core_s, priority=priority)
         self.scheduler.note_demand(entry, (word,), now=now)
 
-    def make_word(self, place: str, *, core_s: float, priority: int = 0) -> LoadWord:
-        return LoadWord(
+    def make_word(self, place: str, *, core_s: float, priority: int = 0) -> QueuedDemand:
+        return QueuedDemand(
             service="floor", priority=priority, data_centre=place, jobs=1, core_s=core_s
         )
 
@@ -213,7 +211,7 @@
     def choose(self, near: float | None, far: float | None) -> str | None:
         ways = [(NEAR, near), (FAR, far)]
         outlooks = [
-            Outlook(data_centre=place, is_near=place == NEAR, cost=cost, wait=0.0, room=1)
+            DataCentreOption(data_centre=place, is_near=place == NEAR, cost=cost, wait=0.0, room=1)
             for place, cost in ways
             if cost is not None
         ]
@@ -224,7 +222,7 @@
         self.assertEqual([NEAR] * 10, turns)
 
     def test_it_turns_far_for_a_gain_and_back_without(self) -> None:
-        self.assertEqual(FAR, self.choose(1.0 + FAR_PENALTY + TURN_GAIN + 0.01, 1.0))
+        self.assertEqual(FAR, self.choose(1.0 + FAR_PENALTY + SWITCH_GAIN + 0.01, 1.0))
         self.assertEqual(FAR, self.choose(1.0 + FAR_PENALTY + 0.01, 1.0))
         self.assertEqual(NEAR, self.choose(1.0 + FAR_PENALTY - 0.01, 1.0))
         self.assertEqual(NEAR, self.choose(1.0 + FAR_PENALTY + 0.01, 1.0))
--- a/tests/core/scheduling/test_coming.py
+++ b/tests/core/scheduling/test_capacity_releases.py
@@ -6,16 +6,16 @@
 
 import testtools
 
-from dalemast.core.scheduling import ComingRoom, RoomReport, WorkerView
-from dalemast.core.scheduling.coming import OVERDUE_S
+from dalemast.core.scheduling import CapacityRelease, RoomReport, WorkerView
+from dalemast.core.scheduling.capacity_releases import OVERDUE_GRACE_S
 from dalemast.core.workloads import Resources
 
 NOW = 10.0
 FULL = Resources(cpu=0, memory_mb=100)
 
 
-def make_rows(*rows: tuple[float, int]) -> tuple[ComingRoom, ...]:
-    return tuple(ComingRoom(in_s=in_s, cpu=cpu) for in_s, cpu in rows)
+def make_rows(*rows: tuple[float, int]) -> tuple[CapacityRelease, ...]:
+    return tuple(CapacityRelease(in_s=in_s, cpu=cpu) for in_s, cpu in rows)
 
 
 class ComingRoomTests(testtools.TestCase):
@@ -50,7 +50,9 @@
 
     def test_a_step_that_does_not_come_is_believed_no_more(self) -> None:
         self.take((0.5, 1000), (1.8, 2000))
-        self.assertEqual([(round(0.8 - OVERDUE_S, 3), 2000)], self.get(0.5 + 0.5 + OVERDUE_S))
+        self.assertEqual(
+            [(round(0.8 - OVERDUE_GRACE_S, 3), 2000)], self.get(0.5 + 0.5 + OVERDUE_GRACE_S)
+        )
         self.assertEqual([], self.get(60.0))
 
     def test_room_that_is_free_by_now_does_not_come_once_more(self) -> None:
--- a/tests/core/scheduling/test_wants.py
+++ b/tests/core/scheduling/test_capacity_requests.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import Action, AskRoom, PriorityOrder, RoomReport, Scheduler
+from dalemast.core.scheduling import Action, PriorityOrder, RequestCapacity, RoomReport, Scheduler
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.scheduling.scheduler import SchedulerLimits
 from dalemast.core.workloads import Resources
@@ -19,8 +19,8 @@
 PLAIN = make_queue(name="plain", priority=1)
 
 
-def get_questions(actions: list[Action]) -> list[AskRoom]:
-    return [action for action in actions if isinstance(action, AskRoom)]
+def get_questions(actions: list[Action]) -> list[RequestCapacity]:
+    return [action for action in actions if isinstance(action, RequestCapacity)]
 
 
 def make_report(cpu: int, *, seen: int) -> RoomReport:
@@ -54,14 +54,14 @@
         self.fill()
         (question,) = get_questions(self.submit("a"))
         self.assertEqual({"w1", "w2"}, set(question.workers))
-        self.assertEqual(1000, question.want.cpu)
+        self.assertEqual(1000, question.request.cpu)
 
     def test_only_more_urgent_work_is_news(self) -> None:
         self.fill()
         (plain,) = get_questions(self.submit("a"))
         self.assertEqual([], get_questions(self.submit("b")))
         (urgent,) = get_questions(self.submit("c", queue=URGENT))
-        self.assertLess(urgent.want.rank, plain.want.rank)
+        self.assertLess(urgent.request.rank, plain.request.rank)
         self.assertEqual([], get_questions(self.submit("d")))
 
     def test_ranks_of_owners_compare_whatever_their_clocks_show(self) -> None:
@@ -87,7 +87,7 @@
         (question,) = get_questions(
             self.scheduler.update_worker("w1", make_report(1000, seen=1), now=10.0)
         )
-        self.assertEqual((("w1",), None), (question.workers, question.want))
+        self.assertEqual((("w1",), None), (question.workers, question.request))
         again = self.scheduler.update_worker("w1", make_report(1000, seen=1), now=10.0)
         self.assertEqual([], get_questions(again))
 
--- a/tests/core/scheduling/test_crashes.py
+++ b/tests/core/scheduling/test_crashes.py
@@ -22,11 +22,11 @@
     TaskGivenUp,
 )
 from dalemast.core.scheduling.crashes import (
-    MAX_ENDED,
-    MAX_TOLD,
-    MOST_CRASHES,
-    MOST_ENDS,
-    REMEMBERED_S,
+    MAX_CRASHES,
+    MAX_ENDED_JOBS,
+    MAX_ENDS,
+    MAX_REPORTED_JOBS,
+    RETENTION_S,
     SAME_AGE_S,
     CrashRecords,
 )
@@ -44,14 +44,14 @@
 TASK = TaskKey(0, 0)
 CRASHES = st.builds(
     Crash,
-    life=st.sampled_from(["i-1", "i-2", "i-3", "i-4"]),
+    incarnation=st.sampled_from(["i-1", "i-2", "i-3", "i-4"]),
     age_s=st.one_of(st.none(), st.floats(0.0, 3.0)),
-    is_seen=st.booleans(),
+    is_observed=st.booleans(),
 )
 
 
-def make_crash(life: str, *, age_s: float | None = 0.03, **fields: bool) -> Crash:
-    return Crash(life=life, age_s=age_s, **fields)
+def make_crash(incarnation: str, *, age_s: float | None = 0.03, **fields: bool) -> Crash:
+    return Crash(incarnation=incarnation, age_s=age_s, **fields)
 
 
 class RecordTests(testtools.TestCase):
@@ -62,39 +62,39 @@
 
     def note(self, *crashes: Crash, job_id: str = "open", now: float = 1.0) -> None:
         for crash in crashes:
-            self.records.note(job_id, TASK, crash, now=now)
+            self.records.record(job_id, TASK, crash, now=now)
 
-    def is_guilty(self, *crashes: Crash) -> bool:
+    def should_give_up(self, *crashes: Crash) -> bool:
         self.note(*crashes)
-        return self.records.is_guilty("open", TASK)
+        return self.records.should_give_up("open", TASK)
 
     def test_one_crash_is_no_proof(self) -> None:
         """All that runs on a worker ends with it."""
-        self.assertFalse(self.is_guilty(make_crash("i-1")))
+        self.assertFalse(self.should_give_up(make_crash("i-1")))
         self.assertTrue(self.records.is_suspect("open", TASK))
 
     def test_two_crashes_at_the_same_age_are_proof(self) -> None:
         later = make_crash("i-2", age_s=0.03 + 0.9 * SAME_AGE_S)
-        self.assertTrue(self.is_guilty(make_crash("i-1"), later))
+        self.assertTrue(self.should_give_up(make_crash("i-1"), later))
 
     def test_a_task_that_ran_longer_the_second_time_may_be_a_bystander(self) -> None:
         later = make_crash("i-2", age_s=0.03 + 1.1 * SAME_AGE_S)
-        self.assertFalse(self.is_guilty(make_crash("i-1"), later))
+        self.assertFalse(self.should_give_up(make_crash("i-1"), later))
 
     def test_an_age_that_nobody_knows_is_no_proof(self) -> None:
         crashes = (make_crash("i-1", age_s=None), make_crash("i-2", age_s=None))
-        self.assertFalse(self.is_guilty(*crashes))
+        self.assertFalse(self.should_give_up(*crashes))
 
     def test_three_crashes_are_enough_however_they_were(self) -> None:
         ages = (0.1, 1.0, None)
         crashes = (make_crash(f"i-{age_s}", age_s=age_s) for age_s in ages)
-        self.assertTrue(self.is_guilty(*crashes))
+        self.assertTrue(self.should_give_up(*crashes))
 
     def note_tasks(self, ages: tuple[float, ...]) -> bool:
         """Let each task of a job end a worker; return whether the job is suspect."""
         for position, age_s in enumerate(ages):
             crash = make_crash(f"i-{position}", age_s=age_s)
-            self.records.note("open", TaskKey(0, position), crash, now=1.0)
+            self.records.record("open", TaskKey(0, position), crash, now=1.0)
         return self.records.is_job_suspect("open")
 
     def test_a_job_whose_tasks_end_several_workers_alike_is_suspect(self) -> None:
@@ -108,41 +108,41 @@
 
     def test_a_task_that_may_have_come_too_late_is_no_cause(self) -> None:
         """Told three workers in a row that had ended by then, it has cost none of them."""
-        for number in range(MOST_CRASHES):
-            self.assertFalse(self.is_guilty(make_crash(f"i-{number}", has_begun=False)))
+        for number in range(MAX_CRASHES):
+            self.assertFalse(self.should_give_up(make_crash(f"i-{number}", has_begun=False)))
 
     def test_ends_that_nobody_saw_are_no_proof_until_they_are_as_many_as_allowed(self) -> None:
         """Workers that are cut off again and again look the same."""
-        for number in range(MOST_ENDS - 1):
-            self.note(make_crash(f"i-{number}", is_seen=False))
-        self.assertFalse(self.records.is_guilty("open", TASK))
-        self.assertTrue(self.is_guilty(make_crash("i-9", is_seen=False)))
+        for number in range(MAX_ENDS - 1):
+            self.note(make_crash(f"i-{number}", is_observed=False))
+        self.assertFalse(self.records.should_give_up("open", TASK))
+        self.assertTrue(self.should_give_up(make_crash("i-9", is_observed=False)))
 
     def test_an_end_that_is_seen_later_counts_once(self) -> None:
-        self.note(make_crash("i-1", is_seen=False))
+        self.note(make_crash("i-1", is_observed=False))
         self.note(make_crash("i-1"))
-        self.note(make_crash("i-1", is_seen=False))
+        self.note(make_crash("i-1", is_observed=False))
         (crash,) = self.records.get("open", TASK)
-        self.assertTrue(crash.is_seen)
+        self.assertTrue(crash.is_observed)
 
     def test_a_life_that_is_back_has_not_ended(self) -> None:
-        self.note(make_crash("i-1", is_seen=False), make_crash("i-2"))
-        self.assertEqual({"open"}, self.records.clear_unseen("i-1"))
-        self.assertEqual(set(), self.records.clear_unseen("i-2"))
-        self.assertEqual(["i-2"], [crash.life for crash in self.records.get("open", TASK)])
+        self.note(make_crash("i-1", is_observed=False), make_crash("i-2"))
+        self.assertEqual({"open"}, self.records.clear_unconfirmed("i-1"))
+        self.assertEqual(set(), self.records.clear_unconfirmed("i-2"))
+        self.assertEqual(["i-2"], [crash.incarnation for crash in self.records.get("open", TASK)])
 
     def test_an_open_job_is_never_forgotten_and_an_ended_one_after_a_while(self) -> None:
         self.note(make_crash("i-1"))
         self.note(make_crash("i-1"), job_id="ended")
-        self.records.tick(now=1.0 + REMEMBERED_S)
+        self.records.tick(now=1.0 + RETENTION_S)
         self.assertIn("open", self.records)
         self.assertNotIn("ended", self.records)
 
     def test_what_is_remembered_of_ended_jobs_is_bounded(self) -> None:
         self.note(make_crash("i-1"))
-        for number in range(3 * MAX_ENDED):
+        for number in range(3 * MAX_ENDED_JOBS):
             self.note(make_crash("i-1"), job_id=f"ended-{number}")
-        self.assertEqual(MAX_ENDED + 1, len(self.records))
+        self.assertEqual(MAX_ENDED_JOBS + 1, len(self.records))
         self.assertIn("open", self.records)
 
     @settings(max_examples=200)
@@ -154,21 +154,21 @@
         records = CrashRecords(open_jobs={"open"})
         known: dict[str, bool] = {}
         for number, crash in enumerate(crashes):
-            was_guilty = records.is_guilty("open", TASK)
+            was_guilty = records.should_give_up("open", TASK)
             now = sum(seconds[: number + 1])
-            is_news = records.note("open", TASK, crash, now=now)
+            is_news = records.record("open", TASK, crash, now=now)
             records.tick(now=now)
-            self.assertEqual(is_news, known.get(crash.life) not in (crash.is_seen, True))
-            known[crash.life] = crash.is_seen or known.get(crash.life, False)
-            self.assertEqual(set(known), {c.life for c in records.get("open", TASK)})
+            self.assertEqual(is_news, known.get(crash.incarnation) not in (crash.is_observed, True))
+            known[crash.incarnation] = crash.is_observed or known.get(crash.incarnation, False)
+            self.assertEqual(set(known), {c.incarnation for c in records.get("open", TASK)})
             self.assertEqual(sum(known.values()), _count_seen(records))
-            self.assertLessEqual(was_guilty, records.is_guilty("open", TASK))
-            if sum(known.values()) >= MOST_CRASHES:
-                self.assertTrue(records.is_guilty("open", TASK))
+            self.assertLessEqual(was_guilty, records.should_give_up("open", TASK))
+            if sum(known.values()) >= MAX_CRASHES:
+                self.assertTrue(records.should_give_up("open", TASK))
 
 
 def _count_seen(records: CrashRecords) -> int:
-    return sum(crash.is_seen for crash in records.get("open", TASK))
+    return sum(crash.is_observed for crash in records.get("open", TASK))
 
 
 class GivenUpTests(SchedulerTestCase):
@@ -197,7 +197,9 @@
         (finished,) = get_finished(actions)
         self.assertIs(JobState.FAILED, finished.state)
         (given_up,) = [action for action in actions if isinstance(action, TaskGivenUp)]
-        self.assertEqual({first.worker, second.worker}, {crash.life for crash in given_up.crashes})
+        self.assertEqual(
+            {first.worker, second.worker}, {crash.incarnation for crash in given_up.crashes}
+        )
 
     def test_a_bystander_of_two_crashes_goes_on(self) -> None:
         self.add_workers(4)
@@ -270,7 +272,7 @@
     def test_a_worker_that_was_out_of_reach_and_is_back_has_not_crashed(self) -> None:
         self.add_workers(6)
         (start,) = get_starts(self.submit("a"))
-        for number in range(2 * MOST_ENDS):
+        for number in range(2 * MAX_ENDS):
             now = 10.0 + 5 * number
             self.scheduler.lose_worker(start.worker, now=now)
             (again,) = get_starts(self.scheduler.tick(now=now + LOST_RUN_S))
@@ -281,10 +283,10 @@
         self.assertIs(JobState.SUCCEEDED, finished.state)
 
     def test_a_task_whose_runs_all_end_unseen_is_given_up(self) -> None:
-        self.add_workers(2 * MOST_ENDS)
+        self.add_workers(2 * MAX_ENDS)
         (start,) = get_starts(self.submit("a"))
         starts = 1
-        for number in range(2 * MOST_ENDS):
+        for number in range(2 * MAX_ENDS):
             now = 10.0 + 5 * number
             self.scheduler.lose_worker(start.worker, now=now)
             again = get_starts(self.scheduler.tick(now=now + LOST_RUN_S))
@@ -292,7 +294,7 @@
                 break
             (start,) = again
             starts += 1
-        self.assertEqual(MOST_ENDS, starts)
+        self.assertEqual(MAX_ENDS, starts)
 
 
 class LostKnowledgeTests(SchedulerTestCase):
@@ -311,7 +313,7 @@
             limits=SchedulerLimits(lost_run_s=LOST_RUN_S),
             started_at=0.0,
         )
-        for number in range(2 * MOST_ENDS):
+        for number in range(2 * MAX_ENDS):
             self.add_worker(f"v{number}")
 
     def test_a_job_that_is_abandoned_counts_each_of_its_open_runs(self) -> None:
@@ -322,7 +324,7 @@
         (over,) = [action for action in actions if isinstance(action, RunPresumedOver)]
         self.assertEqual((start.worker, "a"), (over.worker, over.job_id))
         (end,) = self.scheduler.list_crashes()
-        self.assertEqual((start.worker, False), (end.life, end.is_seen))
+        self.assertEqual((start.worker, False), (end.incarnation, end.is_observed))
 
     def test_an_abandoned_job_whose_worker_is_there_counts_nothing(self) -> None:
         self.add_worker("w1")
@@ -339,13 +341,13 @@
 
     def test_an_owner_that_began_anew_goes_on_from_what_its_peers_know(self) -> None:
         row = CrashedTask(job_id="a", task=TASK, age_s=None)
-        for number in range(MOST_ENDS):
+        for number in range(MAX_ENDS):
             self.scheduler.note_crash(f"w{number}", [row], now=9.0, is_seen=False)
         told = self.scheduler.list_crashes()
         self.make_owner()
         for end, rows in told.items():
             self.scheduler.note_crash(
-                end.life, rows, now=10.0, is_seen=end.is_seen, is_hearsay=True
+                end.incarnation, rows, now=10.0, is_seen=end.is_observed, is_hearsay=True
             )
         actions = self.scheduler.submit(make_job("a"), now=10.0)
         self.assertEqual([], get_starts(actions))
@@ -358,13 +360,13 @@
         self.scheduler.note_crash("w1", [seen, late], now=9.0)
         self.scheduler.note_crash("w2", [seen], now=9.0, is_seen=False)
         told = self.scheduler.list_crashes().items()
-        rows_by_end = {(end.life, end.is_seen): rows for end, rows in told}
+        rows_by_end = {(end.incarnation, end.is_observed): rows for end, rows in told}
         self.assertEqual({("w1", True): [late, seen], ("w2", False): [seen]}, rows_by_end)
 
     def test_what_is_told_is_bounded(self) -> None:
-        for number in range(2 * MAX_TOLD):
+        for number in range(2 * MAX_REPORTED_JOBS):
             row = CrashedTask(job_id=f"job {number}", task=TASK, age_s=None)
             self.scheduler.note_crash("w1", [row], now=9.0)
         (rows,) = self.scheduler.list_crashes().values()
-        self.assertEqual(MAX_TOLD, len(rows))
-        self.assertEqual(f"job {2 * MAX_TOLD - 1}", rows[-1].job_id)
+        self.assertEqual(MAX_REPORTED_JOBS, len(rows))
+        self.assertEqual(f"job {2 * MAX_REPORTED_JOBS - 1}", rows[-1].job_id)
--- a/tests/core/scheduling/test_demand.py
+++ b/tests/core/scheduling/test_demand.py
@@ -6,13 +6,13 @@
 
 import testtools
 
-from dalemast.core.scheduling import LeastSlackOrder, LoadPolicy, LoadWord, Scheduler
+from dalemast.core.scheduling import LeastSlackOrder, LoadPolicy, QueuedDemand, Scheduler
 from dalemast.core.scheduling.demand import (
-    LIFE_PAUSES,
-    MOST_ENTRIES,
-    MOST_NAME,
-    MOST_ROWS,
-    DemandBook,
+    LIFETIME_INTERVALS,
+    MAX_ENTRIES,
+    MAX_NAME_LENGTH,
+    MAX_ROWS,
+    DemandTracker,
 )
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.scheduling.scheduler import SchedulerLimits
@@ -30,54 +30,54 @@
 NOW = 10.0
 
 
-def make_word(**fields: object) -> LoadWord:
+def make_word(**fields: object) -> QueuedDemand:
     values = {"service": "floor", "priority": PLAIN, "data_centre": "austin"}
-    return LoadWord(**{**values, "jobs": 3, "core_s": 6.0, **fields})
+    return QueuedDemand(**{**values, "jobs": 3, "core_s": 6.0, **fields})
 
 
 class DemandBookTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.book = DemandBook()
-        self.book.set_pause(PAUSE_S)
+        self.book = DemandTracker()
+        self.book.set_renewal_interval(PAUSE_S)
 
-    def note(self, entry: str, *words: LoadWord, now: float = NOW) -> bool:
-        return self.book.note(entry, words, now)
+    def note(self, entry: str, *words: QueuedDemand, now: float = NOW) -> bool:
+        return self.book.record(entry, words, now)
 
-    def get_ahead(self, priority: int = PLAIN, now: float = NOW) -> float:
-        return self.book.get_ahead("floor", priority, now)
+    def get_core_s_ahead(self, priority: int = PLAIN, now: float = NOW) -> float:
+        return self.book.get_core_s_ahead("floor", priority, now)
 
     def get_places(self, priority: int = PLAIN, now: float = NOW) -> dict[str, float]:
-        return self.book.get_ahead_by_place("floor", priority, now)
+        return self.book.get_core_s_ahead_by_data_centre("floor", priority, now)
 
     def test_only_what_is_at_least_as_urgent_is_ahead(self) -> None:
         self.note("e2", make_word(priority=URGENT, core_s=1.0), make_word(core_s=10.0))
         self.note("e3", make_word(priority=URGENT, core_s=0.5))
         self.note("e3", make_word(priority=URGENT, core_s=0.5), make_word(service="other"))
-        self.assertEqual(1.5, self.get_ahead(URGENT))
-        self.assertEqual(11.5, self.get_ahead(PLAIN))
+        self.assertEqual(1.5, self.get_core_s_ahead(URGENT))
+        self.assertEqual(11.5, self.get_core_s_ahead(PLAIN))
 
     def test_totals_are_by_data_centre(self) -> None:
         self.note("e2", make_word(priority=URGENT, core_s=1.0), make_word(core_s=10.0))
         self.note("e3", make_word(data_centre="waco", core_s=4.0))
         self.assertEqual({"austin": 11.0, "waco": 4.0}, self.get_places())
         self.assertEqual({"austin": 1.0}, self.get_places(URGENT))
-        self.assertEqual({}, self.book.get_ahead_by_place("other", PLAIN, NOW))
+        self.assertEqual({}, self.book.get_core_s_ahead_by_data_centre("other", PLAIN, NOW))
 
     def test_a_peer_that_dies_takes_its_word_along(self) -> None:
         self.note("e2", make_word())
         self.note("e3", make_word(core_s=1.0))
         self.book.forget("e2")
         self.book.forget("never-met")
-        self.assertEqual(1.0, self.get_ahead())
+        self.assertEqual(1.0, self.get_core_s_ahead())
 
     def test_the_word_of_a_frozen_peer_fades_and_is_dropped(self) -> None:
         self.note("e2", make_word(core_s=6.0))
-        self.assertEqual(6.0, self.get_ahead(now=NOW + PAUSE_S))
-        faded = self.get_ahead(now=NOW + 2.25 * PAUSE_S)
+        self.assertEqual(6.0, self.get_core_s_ahead(now=NOW + PAUSE_S))
+        faded = self.get_core_s_ahead(now=NOW + 2.25 * PAUSE_S)
         self.assertAlmostEqual(3.0, faded)
-        over = NOW + LIFE_PAUSES * PAUSE_S
-        self.assertEqual(0.0, self.get_ahead(now=over))
+        over = NOW + LIFETIME_INTERVALS * PAUSE_S
+        self.assertEqual(0.0, self.get_core_s_ahead(now=over))
         self.assertAlmostEqual(3.0, self.get_places(now=NOW + 2.25 * PAUSE_S)["austin"])
         self.assertEqual({}, self.get_places(now=over))
         self.assertEqual(["e2"], self.book.sweep(over))
@@ -86,25 +86,25 @@
     def test_a_renewed_word_does_not_fade(self) -> None:
         for beat in range(20):
             self.note("e2", make_word(core_s=6.0), now=NOW + beat * PAUSE_S)
-        self.assertEqual(6.0, self.get_ahead(now=NOW + 20 * PAUSE_S))
+        self.assertEqual(6.0, self.get_core_s_ahead(now=NOW + 20 * PAUSE_S))
 
     def test_words_live_longer_among_many_entries_whose_beats_are_rarer(self) -> None:
-        self.book.set_pause(0.85)
+        self.book.set_renewal_interval(0.85)
         self.note("e2", make_word(core_s=6.0))
-        self.assertEqual(6.0, self.get_ahead(now=NOW + 0.9))
+        self.assertEqual(6.0, self.get_core_s_ahead(now=NOW + 0.9))
 
     def test_a_young_peer_counts_for_nothing_before_its_first_word(self) -> None:
-        self.assertEqual(0.0, self.get_ahead())
+        self.assertEqual(0.0, self.get_core_s_ahead())
         self.note("young")
         self.assertEqual(0, len(self.book))
 
     def test_a_new_word_replaces_all_of_the_one_before(self) -> None:
         self.note("e2", make_word(priority=URGENT), make_word())
         self.note("e2", make_word(core_s=2.0))
-        self.assertEqual(0.0, self.get_ahead(URGENT))
-        self.assertEqual(2.0, self.get_ahead())
+        self.assertEqual(0.0, self.get_core_s_ahead(URGENT))
+        self.assertEqual(2.0, self.get_core_s_ahead())
         self.note("e2")
-        self.assertEqual(0.0, self.get_ahead())
+        self.assertEqual(0.0, self.get_core_s_ahead())
 
     def test_an_absurd_word_is_not_used_and_takes_the_one_before_along(self) -> None:
         absurd = [
@@ -116,40 +116,40 @@
             {"jobs": 10**12},
             {"priority": -1},
             {"service": ""},
-            {"service": "x" * (MOST_NAME + 1)},
-            {"data_centre": "x" * (MOST_NAME + 1)},
+            {"service": "x" * (MAX_NAME_LENGTH + 1)},
+            {"data_centre": "x" * (MAX_NAME_LENGTH + 1)},
         ]
         self.note("sound", make_word(core_s=1.0))
         for fields in absurd:
             self.assertTrue(self.note("e2", make_word()))
             self.assertFalse(self.note("e2", make_word(), make_word(**fields)), fields)
-            self.assertEqual(1.0, self.get_ahead(), fields)
+            self.assertEqual(1.0, self.get_core_s_ahead(), fields)
 
     def test_a_word_of_too_many_rows_or_of_one_row_twice_is_not_used(self) -> None:
-        rows = [make_word(service=f"s{number}") for number in range(MOST_ROWS + 1)]
+        rows = [make_word(service=f"s{number}") for number in range(MAX_ROWS + 1)]
         self.assertFalse(self.note("e2", *rows))
         self.assertFalse(self.note("e2", make_word(), make_word()))
         self.assertEqual(0, len(self.book))
 
     def test_an_unknown_service_is_ahead_of_nobody(self) -> None:
         self.assertTrue(self.note("e2", make_word(service="unheard-of")))
-        self.assertEqual(0.0, self.get_ahead())
+        self.assertEqual(0.0, self.get_core_s_ahead())
 
     def test_memory_is_bounded_and_words_that_are_over_make_room(self) -> None:
-        for number in range(MOST_ENTRIES + 10):
+        for number in range(MAX_ENTRIES + 10):
             self.note(f"foreign-{number}", make_word())
-        self.assertEqual(MOST_ENTRIES, len(self.book))
-        later = NOW + LIFE_PAUSES * PAUSE_S
+        self.assertEqual(MAX_ENTRIES, len(self.book))
+        later = NOW + LIFETIME_INTERVALS * PAUSE_S
         self.assertTrue(self.note("e2", make_word(core_s=6.0), now=later))
-        self.assertEqual(6.0, self.get_ahead(now=later))
+        self.assertEqual(6.0, self.get_core_s_ahead(now=later))
         self.assertEqual(1, len(self.book))
 
     def test_ages_are_shown(self) -> None:
         self.note("e2", make_word())
-        (heard,) = self.book.list_heard(NOW + 0.1)
+        (heard,) = self.book.list_peer_demand(NOW + 0.1)
         self.assertEqual("e2", heard.entry)
         self.assertAlmostEqual(0.1, heard.age_s)
-        self.assertEqual((make_word(),), heard.words)
+        self.assertEqual((make_word(),), heard.demand)
 
 
 class OwnDemandTests(SchedulerTestCase):
@@ -205,16 +205,16 @@
 
     def test_the_words_of_others_come_and_go(self) -> None:
         self.scheduler.note_demand("e2", (make_word(),), now=NOW)
-        self.assertEqual(6.0, self.scheduler.demand.get_ahead("floor", PLAIN, NOW))
+        self.assertEqual(6.0, self.scheduler.demand.get_core_s_ahead("floor", PLAIN, NOW))
         self.scheduler.forget_demand("e2")
-        self.assertEqual(0.0, self.scheduler.demand.get_ahead("floor", PLAIN, NOW))
+        self.assertEqual(0.0, self.scheduler.demand.get_core_s_ahead("floor", PLAIN, NOW))
 
     def test_nothing_is_told_or_believed_unless_it_is_asked_for(self) -> None:
         self.scheduler = self.make_sharing_scheduler(shares_demand=False)
         self.fill_and_submit()
         self.assertEqual((), self.scheduler.get_demand(now=NOW))
         self.scheduler.note_demand("e2", (make_word(),), now=NOW)
-        self.assertEqual(0.0, self.scheduler.demand.get_ahead("floor", PLAIN, NOW))
+        self.assertEqual(0.0, self.scheduler.demand.get_core_s_ahead("floor", PLAIN, NOW))
 
 
 class CallerWordTests(SchedulerTestCase):
@@ -228,5 +228,5 @@
             job = make_job(f"j{number}", make_step(estimate_s=estimate_s))
             self.scheduler.submit(job, now=NOW)
         words = self.scheduler.get_demand(now=NOW)
-        self.assertTrue(DemandBook().note("e1", words, NOW))
+        self.assertTrue(DemandTracker().record("e1", words, NOW))
         self.assertGreaterEqual(sum(word.core_s for word in words), 0.1)
--- a/tests/core/scheduling/test_telling.py
+++ b/tests/core/scheduling/test_demand_reports.py
@@ -6,16 +6,20 @@
 
 import testtools
 
-from dalemast.core.scheduling import LoadWord
-from dalemast.core.scheduling.telling import WORDS_PER_S, DemandAudience, get_news_pause_s
+from dalemast.core.scheduling import QueuedDemand
+from dalemast.core.scheduling.demand_reports import (
+    REPORTS_PER_S,
+    DemandSubscriber,
+    get_report_interval_s,
+)
 
 RENEWAL_S = 1.0
 NEWS_S = 0.5
 
 
-def make_words(*core_s: float) -> tuple[LoadWord, ...]:
+def make_words(*core_s: float) -> tuple[QueuedDemand, ...]:
     return tuple(
-        LoadWord(service="floor", priority=priority, data_centre="", jobs=1, core_s=value)
+        QueuedDemand(service="floor", priority=priority, data_centre="", jobs=1, core_s=value)
         for priority, value in enumerate(core_s)
     )
 
@@ -23,15 +27,15 @@
 class DemandAudienceTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.audience = DemandAudience()
+        self.audience = DemandSubscriber()
 
-    def tell(self, words: tuple[LoadWord, ...], now: float) -> bool:
+    def tell(self, words: tuple[QueuedDemand, ...], now: float) -> bool:
         """Tell a word if it is due; return whether it was."""
         is_due = self.audience.is_due(
-            words, now=now, news_pause_s=NEWS_S, renewal_pause_s=RENEWAL_S
+            words, now=now, report_interval_s=NEWS_S, renewal_interval_s=RENEWAL_S
         )
         if is_due:
-            self.audience.note_told(words, now=now)
+            self.audience.record_sent(words, now=now)
         return is_due
 
     def test_nothing_is_told_while_nothing_waits(self) -> None:
@@ -55,22 +59,22 @@
 
     def test_large_ones_and_new_priorities_wait_for_the_shorter_pause(self) -> None:
         for words in (make_words(20.0), make_words(5.0), make_words(10.0, 0.1), ()):
-            self.audience = DemandAudience()
+            self.audience = DemandSubscriber()
             self.tell(make_words(10.0), 1.0)
             self.assertFalse(self.tell(words, 1.0 + NEWS_S / 2))
             self.assertTrue(self.tell(words, 1.0 + NEWS_S))
 
     def test_load_that_swings_with_each_tick_stays_within_the_bound(self) -> None:
         for others in (1, 10, 34, 73):
-            pause_s = get_news_pause_s(others)
-            audience = DemandAudience()
+            pause_s = get_report_interval_s(others)
+            audience = DemandSubscriber()
             told = 0
             for tick in range(160):
                 now = tick / 16
                 words = make_words(1.0 + 100 * (tick % 2))
                 if audience.is_due(
-                    words, now=now, news_pause_s=pause_s, renewal_pause_s=2 * pause_s
+                    words, now=now, report_interval_s=pause_s, renewal_interval_s=2 * pause_s
                 ):
-                    audience.note_told(words, now=now)
+                    audience.record_sent(words, now=now)
                     told += 1
-            self.assertLessEqual(told * others, WORDS_PER_S * 10 + others)
+            self.assertLessEqual(told * others, REPORTS_PER_S * 10 + others)
--- a/tests/core/scheduling/test_departures.py
+++ b/tests/core/scheduling/test_departures.py
@@ -9,7 +9,7 @@
 
 from dalemast.core.scheduling import (
     Action,
-    CutShort,
+    DepartureRisk,
     EndReason,
     FastestPlacement,
     LoadPolicy,
@@ -68,7 +68,7 @@
     def cut(
         self, start: StartTask, *, left_s: float, now: float, leaves_in_s: float = NOTICE_S
     ) -> list[Action]:
-        report = CutShort(left_s=left_s, leaves_in_s=leaves_in_s)
+        report = DepartureRisk(left_s=left_s, leaves_in_s=leaves_in_s)
         return self.scheduler.note_cut_short(
             start.worker, start.job.id, start.task, start.run, report, now=now
         )
--- a/tests/core/scheduling/test_forecast_properties.py
+++ b/tests/core/scheduling/test_forecast_properties.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from dalemast.core.scheduling import Action, ComingRoom, JobRefused, LoadPolicy
+from dalemast.core.scheduling import Action, CapacityRelease, JobRefused, LoadPolicy
 from dalemast.core.scheduling.jobs import LATE_FACTOR, START_MARGIN
-from dalemast.core.scheduling.returns import RETRY_AFTER_S
+from dalemast.core.scheduling.retry_times import RETRY_AFTER_S
 from tests.core.scheduling.base import make_queue
 from tests.core.scheduling.test_properties import WORKERS, OwnerMachine
 
 ROUNDING_S = 1e-6
 ANY_NUMBER = st.one_of(st.floats(0.0, 5.0), st.floats())
-COMING = st.builds(ComingRoom, in_s=ANY_NUMBER, cpu=st.integers(-(10**6), 10**6))
+COMING = st.builds(CapacityRelease, in_s=ANY_NUMBER, cpu=st.integers(-(10**6), 10**6))
 
 
 class ForecastingOwnerMachine(OwnerMachine):
@@ -33,7 +33,7 @@
         super().__init__()
         self.scheduler._forecasts._elsewhere = self
 
-    def get_ahead(self, service: str, priority: int, now: float) -> float:
+    def get_core_s_ahead(self, service: str, priority: int, now: float) -> float:
         return self.core_s
 
     def apply(self, actions: list[Action]) -> None:
@@ -56,7 +56,7 @@
             assert not has_room or end_s > left_s - ROUNDING_S, f"{view.name} had room"
 
     @rule(name=st.sampled_from(WORKERS), rows=st.lists(COMING, max_size=5))
-    def tell_coming(self, name: str, rows: list[ComingRoom]) -> None:
+    def tell_coming(self, name: str, rows: list[CapacityRelease]) -> None:
         self.scheduler.note_coming_room(name, tuple(rows), now=self.now)
 
     @rule(core_s=ANY_NUMBER)
--- a/tests/core/scheduling/test_forecasts.py
+++ b/tests/core/scheduling/test_forecasts.py
@@ -5,7 +5,7 @@
 import math
 
 from dalemast.core.scheduling import (
-    ComingRoom,
+    CapacityRelease,
     EndReason,
     JobRefused,
     LoadPolicy,
@@ -14,7 +14,7 @@
     WorkerView,
 )
 from dalemast.core.scheduling.crashes import CrashedTask
-from dalemast.core.scheduling.forecasts import LONGEST_LOOK_S
+from dalemast.core.scheduling.forecasts import MAX_REUSE_S
 from dalemast.core.workloads import JobRequest, Resources, TaskKey
 from tests.core.scheduling.base import (
     SchedulerTestCase,
@@ -50,7 +50,7 @@
         self.core_s: float = 0.0
         self.asked: list[tuple[str, int]] = []
 
-    def get_ahead(self, service: str, priority: int, now: float) -> float:
+    def get_core_s_ahead(self, service: str, priority: int, now: float) -> float:
         self.asked.append((service, priority))
         return self.core_s
 
@@ -82,9 +82,9 @@
         report = RoomReport(seen=0, free=full, is_accepting=True)
         self.scheduler.update_worker(name, report, now=told_at)
         if is_told:
-            self.tell(name, ComingRoom(in_s=in_s, cpu=4000), told_at=told_at)
+            self.tell(name, CapacityRelease(in_s=in_s, cpu=4000), told_at=told_at)
 
-    def tell(self, name: str, *rows: ComingRoom, told_at: float = NOW) -> None:
+    def tell(self, name: str, *rows: CapacityRelease, told_at: float = NOW) -> None:
         self.scheduler.note_coming_room(name, rows, now=told_at)
 
     def arrive(self, job: JobRequest, *, now: float = NOW) -> JobRefused | None:
@@ -231,7 +231,7 @@
     def test_absurd_times(self) -> None:
         self.fill()
         for number, in_s in enumerate((math.nan, math.inf, -1.0)):
-            self.tell("w5", ComingRoom(in_s=in_s, cpu=4000))
+            self.tell("w5", CapacityRelease(in_s=in_s, cpu=4000))
             at = NOW + number * LOOK_S
             self.assertIsNone(self.arrive(make_urgent(f"a{in_s}"), now=at))
             self.scheduler.cancel(f"a{in_s}")
@@ -240,10 +240,10 @@
         self.fill()
         self.elsewhere.core_s = 1000.0
         for number in range(self.workers):
-            self.tell(f"w{number}", ComingRoom(in_s=LONG_S, cpu=10**12))
+            self.tell(f"w{number}", CapacityRelease(in_s=LONG_S, cpu=10**12))
         self.assertAlmostEqual(40.0, self.arrive(make_urgent("a")).forecast.cores)
         for number in range(self.workers):
-            self.tell(f"w{number}", ComingRoom(in_s=LONG_S, cpu=-(10**12)))
+            self.tell(f"w{number}", CapacityRelease(in_s=LONG_S, cpu=-(10**12)))
         self.elsewhere.core_s = 0.0
         self.assertIsNone(self.arrive(make_urgent("b"), now=NOW + LOOK_S))
 
@@ -261,7 +261,7 @@
         step = make_step(estimate_s=1e9)
         self.assertIsNone(self.arrive(make_job("a", step, queue=LONG)))
         job = self.scheduler.open_jobs["a"]
-        later = NOW + 2 * LONGEST_LOOK_S
+        later = NOW + 2 * MAX_REUSE_S
         self.fill(in_s=1000.0, told_at=later)
         forecast = self.scheduler._forecasts.expect(job, now=later)
         self.assertAlmostEqual(1000.0, forecast.begin_s)
--- a/tests/core/scheduling/test_numbers.py
+++ b/tests/core/scheduling/test_numbers.py
@@ -4,7 +4,7 @@
 
 import testtools
 
-from dalemast.core.scheduling.numbers import REMEMBERED_S, RunNumbers
+from dalemast.core.scheduling.numbers import RETENTION_S, RunNumbers
 
 
 class RunNumbersTests(testtools.TestCase):
@@ -12,9 +12,9 @@
         numbers = RunNumbers()
         numbers.tick(now=100.0)
         numbers.remember("a", 3)
-        numbers.tick(now=100.0 + REMEMBERED_S)
+        numbers.tick(now=100.0 + RETENTION_S)
         self.assertEqual(3, numbers.get("a"))
-        numbers.tick(now=100.0 + 2 * REMEMBERED_S)
+        numbers.tick(now=100.0 + 2 * RETENTION_S)
         self.assertEqual(0, numbers.get("a"))
 
     def test_a_job_that_is_not_known_begins_anew(self) -> None:
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -6,11 +6,11 @@
 
 from dalemast.core.scheduling import (
     Action,
-    AskRoom,
     EndReason,
     JobState,
     LoadPolicy,
     PriorityOrder,
+    RequestCapacity,
     Scheduler,
     SchedulerLimits,
     StartTask,
@@ -31,7 +31,7 @@
     make_queue,
     make_step,
 )
-from tests.core.scheduling.test_wants import get_questions, make_report
+from tests.core.scheduling.test_capacity_requests import get_questions, make_report
 
 URGENT = make_queue(name="switches", priority=0)
 MIDDLE = make_queue(name="confirmations", priority=1)
@@ -69,10 +69,10 @@
         step = make_step(count, estimate_s=URGENT_S)
         return self.scheduler.submit(make_job(name, step, queue=queue), now=now)
 
-    def find_asked(self, *, now: float) -> list[AskRoom]:
+    def find_asked(self, *, now: float) -> list[RequestCapacity]:
         """Return the questions for room that may be preempted."""
         questions = get_questions(self.scheduler.tick(now=now))
-        return [asked for asked in questions if asked.want and asked.want.preempts_from]
+        return [asked for asked in questions if asked.request and asked.request.preempts_from]
 
     def report_room(self, start: StartTask, *, now: float) -> list[Action]:
         report = make_report(1000, seen=start.number)
@@ -85,7 +85,7 @@
         self.submit_urgent()
         (asked,) = self.find_asked(now=10.03)
         self.assertEqual(8, len(set(asked.workers)))
-        self.assertEqual((1, 1000), (asked.want.preempts_from, asked.want.cpu))
+        self.assertEqual((1, 1000), (asked.request.preempts_from, asked.request.cpu))
 
     def test_it_first_waits_for_a_moment(self) -> None:
         self.submit_long()
@@ -127,7 +127,7 @@
 class WhomToAskTests(PreemptionTestCase):
     """A run that is stopped where the job can't begin is thrown away for nothing."""
 
-    def ask_for_labelled(self, label: str) -> list[AskRoom]:
+    def ask_for_labelled(self, label: str) -> list[RequestCapacity]:
         step = make_step(2, estimate_s=URGENT_S, label=label)
         self.scheduler.submit(make_job("urgent", step, queue=URGENT), now=10.0)
         return self.find_asked(now=10.03)
@@ -276,5 +276,5 @@
         self.assertIsNone(start.spare_s)
 
 
-def _preempts(asked: AskRoom) -> bool:
-    return asked.want is not None and asked.want.preempts_from is not None
+def _preempts(asked: RequestCapacity) -> bool:
+    return asked.request is not None and asked.request.preempts_from is not None
--- a/tests/core/scheduling/test_returns.py
+++ b/tests/core/scheduling/test_retry_times.py
@@ -9,7 +9,7 @@
 
 from dalemast.core.scheduling import JobRefused, LoadPolicy
 from dalemast.core.scheduling.jobs import Job
-from dalemast.core.scheduling.returns import RETRY_AFTER_S, ReturnTimes
+from dalemast.core.scheduling.retry_times import RETRY_AFTER_S, RetryTimes
 from tests.core.scheduling.base import (
     SchedulerTestCase,
     get_refused,
@@ -33,7 +33,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.returns = ReturnTimes()
+        self.returns = RetryTimes()
 
     def plan(self, job: Job, *, begin_s: float = 0.3, cores: float = 1.0, at: float = NOW) -> float:
         return self.returns.plan(job, begin_s=begin_s, core_s=0.1, cores=cores, now=at)
@@ -47,12 +47,12 @@
         self.assertThat(max(times), _is_between(1.3, 2.3))
 
     def test_the_same_job_is_told_the_same(self) -> None:
-        again = ReturnTimes().plan(make_waiting("a"), begin_s=0.3, core_s=0.1, cores=1.0, now=NOW)
+        again = RetryTimes().plan(make_waiting("a"), begin_s=0.3, core_s=0.1, cores=1.0, now=NOW)
         self.assertEqual(self.plan(make_waiting("a")), again)
 
     def test_another_entry_that_refuses_as_many_names_other_moments(self) -> None:
         ours = {round(self.plan(make_waiting(f"a{number}")), 4) for number in range(20)}
-        other = ReturnTimes()
+        other = RetryTimes()
         theirs = {
             round(
                 other.plan(make_waiting(f"b{number}"), begin_s=0.3, core_s=0.1, cores=1.0, now=NOW),
--- a/tests/core/scheduling/test_suiting.py
+++ b/tests/core/scheduling/test_speed_bounds.py
@@ -7,7 +7,11 @@
 from dalemast.core.scheduling import FastestPlacement, WorkerView
 from dalemast.core.scheduling.choices import ChoiceRound
 from dalemast.core.scheduling.jobs import Job
-from dalemast.core.scheduling.suiting import SPEED_MARGIN, get_slowest, get_slowest_late
+from dalemast.core.scheduling.speed_bounds import (
+    SPEED_MARGIN,
+    get_max_slowness,
+    get_max_slowness_late,
+)
 from dalemast.core.workloads import TaskKey
 from tests.core.scheduling.base import make_job, make_step
 from tests.core.scheduling.test_choices import make_view
@@ -46,21 +50,21 @@
             job = make_sized_job(chain_s)
             with self.subTest(chain_s=chain_s, waited_s=waited_s):
                 now = NOW + waited_s
-                self.assertAlmostEqual(on_time, get_slowest(job, now=now), delta=0.006)
-                self.assertAlmostEqual(late, get_slowest_late(job, now=now), delta=0.006)
+                self.assertAlmostEqual(on_time, get_max_slowness(job, now=now), delta=0.006)
+                self.assertAlmostEqual(late, get_max_slowness_late(job, now=now), delta=0.006)
 
     def test_what_is_left_of_a_chain_counts(self) -> None:
         steps = (make_step(estimate_s=0.3), make_step(estimate_s=0.1, after=(0,)))
         job = make_sized_job(0.4, *steps)
-        whole = get_slowest(job, now=NOW)
+        whole = get_max_slowness(job, now=NOW)
         job.set_placed(job.waiting[0], worker="w", now=NOW, expected_s=0.3, run_factor=1.0)
         job.set_done(job.tasks[TaskKey(0, 0)])
-        self.assertAlmostEqual(4 * whole, get_slowest(job, now=NOW))
+        self.assertAlmostEqual(4 * whole, get_max_slowness(job, now=NOW))
 
     def test_a_job_without_a_declared_time_has_a_bound(self) -> None:
         steps = (make_step(estimate_s=0.0), make_step(estimate_s=0.0, after=(0,)))
         job = make_sized_job(0.4, *steps)
-        self.assertAlmostEqual(job.objective_s / 0.4 / SPEED_MARGIN, get_slowest(job, now=NOW))
+        self.assertAlmostEqual(job.objective_s / 0.4 / SPEED_MARGIN, get_max_slowness(job, now=NOW))
 
 
 class UnevenChoiceTests(TestCase):
--- a/tests/core/supervision/test_audience.py
+++ b/tests/core/supervision/test_audience.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from dalemast.core.scheduling import Want
+from dalemast.core.scheduling import CapacityRequest
 from dalemast.core.supervision import RoomAudience, find_neediest, get_room_pause
 
 PAUSE_S = 0.5
@@ -51,7 +51,7 @@
         self.assertLess(few, get_room_pause(is_near=False, owners=1))
 
     def test_an_owner_that_begins_to_lack_room_is_due_only_if_it_hears_of_coming_room(self) -> None:
-        want = Want(rank=(1.0,), cpu=1000)
+        want = CapacityRequest(rank=(1.0,), cpu=1000)
         self.audience.take_want(want, hears_coming=False)
         self.assertFalse(self.audience.is_due)
         self.audience.take_want(None, hears_coming=True)
@@ -65,7 +65,7 @@
 class NeediestTests(TestCase):
     def make(self, *rank: float, cpu: int = 1000) -> RoomAudience:
         audience = RoomAudience()
-        audience.want = Want(rank=rank, cpu=cpu)
+        audience.want = CapacityRequest(rank=rank, cpu=cpu)
         return audience
 
     def test_the_most_urgent_want_that_fits_is_offered_the_room(self) -> None:
--- a/tests/core/supervision/test_coming.py
+++ b/tests/core/supervision/test_coming.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from dalemast.core.scheduling import EndReason
-from dalemast.core.scheduling.coming import MOST_STEPS
+from dalemast.core.scheduling.capacity_releases import MAX_STEPS
 from dalemast.core.supervision import EndedRun, ListedRun, RunId, StartOutcome
 from dalemast.core.workloads import TaskKey
 from tests.core.supervision.test_supervisor import SupervisorTestCase, make_life, make_start
@@ -59,7 +59,7 @@
         self.play(now)
         steps = self.get(now)
         self.assertEqual([1000, 2000, 4000, 6000], [cpu for _, cpu in steps])
-        self.assertEqual(MOST_STEPS, len(steps))
+        self.assertEqual(MAX_STEPS, len(steps))
         self.assertEqual(sorted(steps), steps)
         # The first end is the one of the task that began first, at 2.8.
         self.assertAlmostEqual(0.5, steps[0][0], delta=0.05)
--- a/tests/core/supervision/test_preemption.py
+++ b/tests/core/supervision/test_preemption.py
@@ -6,7 +6,7 @@
 
 import testtools
 
-from dalemast.core.scheduling import EndReason, Want
+from dalemast.core.scheduling import CapacityRequest, EndReason
 from dalemast.core.supervision import (
     Action,
     EndedRun,
@@ -35,8 +35,8 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def want(cpu: int = 1200, *, preempts_from: int | None = 1) -> Want:
-    return Want(rank=(0.0, 0.0, 0.05), cpu=cpu, preempts_from=preempts_from)
+def want(cpu: int = 1200, *, preempts_from: int | None = 1) -> CapacityRequest:
+    return CapacityRequest(rank=(0.0, 0.0, 0.05), cpu=cpu, preempts_from=preempts_from)
 
 
 class PreemptionTestCase(testtools.TestCase):
@@ -123,7 +123,7 @@
         return self.supervisor.look(rows, ended, asked_at=now, now=now)
 
     def preempt(
-        self, wish: Want | None = None, *, owner: str = "o2", now: float = 10.1
+        self, wish: CapacityRequest | None = None, *, owner: str = "o2", now: float = 10.1
     ) -> list[PreemptRun]:
         wish = wish or want()
         return pick(self.supervisor.preempt(owner, wish, said_at=now, now=now), PreemptRun)
--- a/tests/fleet/test_demand.py
+++ b/tests/fleet/test_demand.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 from dalemast import clock
-from dalemast.core.scheduling.demand import MOST_ROWS
+from dalemast.core.scheduling.demand import MAX_ROWS
 from dalemast.fleet.entry import FleetEntryProcess
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.frames import DemandNews, DemandRow
@@ -31,7 +31,7 @@
 
 
 def get_ahead(entry: FleetEntryProcess) -> float:
-    return entry._scheduler.demand.get_ahead(SERVICE, 0, clock.monotonic())
+    return entry._scheduler.demand.get_core_s_ahead(SERVICE, 0, clock.monotonic())
 
 
 def get_told(entry: FleetEntryProcess) -> int:
@@ -184,7 +184,7 @@
                 self.assertEqual(5.0, get_ahead(first))
                 many = tuple(
                     DemandRow(service=f"s{number}", priority=0, jobs=1, core_s=1.0)
-                    for number in range(MOST_ROWS + 1)
+                    for number in range(MAX_ROWS + 1)
                 )
                 huge = DemandRow(service=SERVICE, priority=0, jobs=1, core_s=1e300)
                 for rows in (many, (huge,), (row, row)):
--- a/tests/fleet/test_preemption.py
+++ b/tests/fleet/test_preemption.py
@@ -8,7 +8,7 @@
 
 import testtools
 
-from dalemast.core.scheduling import LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import Supervisor, SupervisorLimits
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
@@ -40,7 +40,7 @@
             supervisor=supervisor, sessions=sessions, policy=LoadPolicy(), metrics=Metrics()
         )
         reports.note_change(now=NOW)
-        want = Want(rank=(0.0, 0.0, 0.1), cpu=1000, preempts_from=1)
+        want = CapacityRequest(rank=(0.0, 0.0, 0.1), cpu=1000, preempts_from=1)
         for name in owners:
             victim = mock.Mock()
             victim.request.run_id, victim.request.resources = name, Resources(cpu=1000)
--- a/tests/fleet/test_refused_lines.py
+++ b/tests/fleet/test_refused_lines.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest import mock
 
-from dalemast.core.scheduling import Forecast, JobRefused, LeftOut, RefusalCause
+from dalemast.core.scheduling import Forecast, JobRefused, RefusalCause, WorkerExclusions
 from dalemast.fleet.base import JobTurnedAway
 from dalemast.fleet.entry.desk import JobDesk
 from tests.core.scheduling.base import make_step
@@ -67,7 +67,7 @@
             needed_cpu=1000,
             free_cpu=0,
             view_age_s=0.0,
-            left_out=LeftOut(no_room=1),
+            left_out=WorkerExclusions(no_room=1),
             forecast=forecast,
         )
         with mock.patch("dalemast.fleet.entry.desk.log_event") as log:
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -7,7 +7,7 @@
 
 import testtools
 
-from dalemast.core.scheduling import LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerLife
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
@@ -48,7 +48,7 @@
         session = OwnerSession(link=mock.Mock(), links=mock.Mock())
         session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no one of them is offered the room before the others.
-        session.audience.want = Want(rank=(0.0,), cpu=8000)
+        session.audience.want = CapacityRequest(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
     def note(self, name: str, message: object) -> None:
