--- a/dalemast/core/supervision/__init__.py
+++ b/dalemast/core/supervision/__init__.py
@@ -22,7 +22,7 @@
 from dalemast.core.supervision.capacity_reports import (
     CapacitySubscriber,
     find_most_urgent,
-    get_report_interval_s,
+    get_capacity_report_interval_s,
     get_report_order,
 )
 from dalemast.core.supervision.crashes import list_crashed
@@ -60,7 +60,7 @@
     "WorkerLease",
     "WorkerIncarnation",
     "find_most_urgent",
-    "get_report_interval_s",
+    "get_capacity_report_interval_s",
     "get_report_order",
     "list_crashed",
 ]
--- a/dalemast/core/supervision/capacity_reports.py
+++ b/dalemast/core/supervision/capacity_reports.py
@@ -10,9 +10,14 @@
 
 from collections.abc import Iterable
 
-from dalemast.core.scheduling.actions import Want
+from dalemast.core.scheduling.actions import CapacityRequest
 
-__all__ = ["CapacitySubscriber", "find_most_urgent", "get_report_interval_s", "get_report_order"]
+__all__ = [
+    "CapacitySubscriber",
+    "find_most_urgent",
+    "get_capacity_report_interval_s",
+    "get_report_order",
+]
 
 NEAR_ROOM_PAUSE_S = 0.0125
 """Shortest pause between two reports to an owner in the same data centre on what others changed,
@@ -31,7 +36,7 @@
 reports than 4, with as many refused starts and no loss of worth."""
 
 
-def get_report_interval_s(
+def get_capacity_report_interval_s(
     *, is_same_data_centre: bool, owners: int, is_satisfied: bool = False
 ) -> float:
     """Return the pause between reports to one of so many owners that are as near, in seconds.
@@ -71,7 +76,7 @@
         self._is_urgent = False
         self._told_at = float("-inf")
         self._last_first_at = float("-inf")
-        self.request: Want | None = None
+        self.request: CapacityRequest | None = None
         """What the owner lacks room for, by its last word."""
 
     @property
@@ -89,7 +94,7 @@
         """When others last heard of a change right after it."""
         return self._last_first_at
 
-    def set_request(self, want: Want | None, *, receives_releases: bool) -> None:
+    def set_request(self, want: CapacityRequest | None, *, receives_releases: bool) -> None:
         """Take in what the owner lacks room for.
 
         One that ``receives_releases`` was sent none while it was satisfied, so a report is due.
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -5,12 +5,12 @@
 from collections.abc import Mapping
 
 from dalemast import clock
-from dalemast.core.scheduling import LoadPolicy, Want
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import (
     RunId,
     Supervisor,
     find_most_urgent,
-    get_report_interval_s,
+    get_capacity_report_interval_s,
     get_report_order,
 )
 from dalemast.core.workloads import Resources
@@ -43,12 +43,12 @@
     )
 
 
-def to_want(row: WantRow | None) -> Want | None:
+def to_want(row: WantRow | None) -> CapacityRequest | None:
     """Return what an entry's message says that it lacks room for."""
     if row is None:
         return None
     preempts_from = None if row.preempts_from < 0 else row.preempts_from
-    return Want(rank=row.rank, cpu=row.cpu, preempts_from=preempts_from)
+    return CapacityRequest(rank=row.rank, cpu=row.cpu, preempts_from=preempts_from)
 
 
 def make_leaving(in_s: float | None) -> WorkerLeaving:
@@ -142,7 +142,7 @@
         far = len(self._sessions) - near
         for session in due:
             audience = session.audience
-            pause_s = get_report_interval_s(
+            pause_s = get_capacity_report_interval_s(
                 is_same_data_centre=session.is_near,
                 owners=near if session.is_near else far,
                 is_satisfied=audience.is_satisfied,
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -9,11 +9,11 @@
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.scheduling import (
     Action,
-    AskRoom,
+    CapacityRelease,
     CapacityReport,
-    ComingRoom,
-    CutShort,
+    DepartureRisk,
     EndReason,
+    RequestCapacity,
     Scheduler,
     SlowRun,
     StartTask,
@@ -27,7 +27,11 @@
 from dalemast.fleet.crashes import make_crashed, read_crashed
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
-from dalemast.fleet.entry.rows import make_capacity_request_row, make_run_row, make_starts
+from dalemast.fleet.entry.rows import (
+    make_capacity_request_row,
+    make_run_row,
+    make_starts,
+)
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
     AgentHello,
@@ -152,9 +156,9 @@
             if session is not None:
                 session.link.send(Stop(run=make_run_row(stop.job_id, stop.task, stop.run)))
 
-    def send_capacity_requests(self, asked: AskRoom) -> None:
+    def send_capacity_requests(self, asked: RequestCapacity) -> None:
         """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_capacity_request_row(asked.want))
+        message = Wants(want=make_capacity_request_row(asked.request))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -326,7 +330,7 @@
         self._apply(self._scheduler.update_worker(session.worker, report, now=now))
 
     def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
-        rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
+        rows = tuple(CapacityRelease(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
         self._scheduler.note_capacity_releases(session.worker, rows, now=clock.monotonic())
 
     def _note_leaving(self, session: AgentSession, news: WorkerLeaving) -> None:
@@ -350,7 +354,7 @@
 
     def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
         row = news.run
-        report = CutShort(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
+        report = DepartureRisk(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
         key = TaskKey(row.step, row.position)
         actions = self._scheduler.note_departure_risk(
             session.worker, row.job, key, row.run, report, now=clock.monotonic()
@@ -371,7 +375,9 @@
     def make_relayed_reports(self) -> list[Crashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
-        return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
+        return [
+            make_crashed(end.incarnation, rows, is_seen=end.is_observed) for end, rows in crashes
+        ]
 
     def _take_crash(self, news: Crashed, *, is_hearsay: bool) -> None:
         actions = self._scheduler.note_crash(
--- a/tests/core/supervision/test_capacity_reports.py
+++ b/tests/core/supervision/test_capacity_reports.py
@@ -4,8 +4,12 @@
 
 from testtools import TestCase
 
-from dalemast.core.scheduling import Want
-from dalemast.core.supervision import CapacitySubscriber, find_most_urgent, get_report_interval_s
+from dalemast.core.scheduling import CapacityRequest
+from dalemast.core.supervision import (
+    CapacitySubscriber,
+    find_most_urgent,
+    get_capacity_report_interval_s,
+)
 
 PAUSE_S = 0.5
 
@@ -45,13 +49,13 @@
         self.assertFalse(self._take_due(1.02))
 
     def test_more_owners_hear_less_often_each(self) -> None:
-        few = get_report_interval_s(is_same_data_centre=True, owners=1)
-        many = get_report_interval_s(is_same_data_centre=True, owners=4)
+        few = get_capacity_report_interval_s(is_same_data_centre=True, owners=1)
+        many = get_capacity_report_interval_s(is_same_data_centre=True, owners=4)
         self.assertEqual(4 * few, many)
-        self.assertLess(few, get_report_interval_s(is_same_data_centre=False, owners=1))
+        self.assertLess(few, get_capacity_report_interval_s(is_same_data_centre=False, owners=1))
 
     def test_an_owner_that_begins_to_lack_room_is_due_only_if_it_hears_of_coming_room(self) -> None:
-        want = Want(rank=(1.0,), cpu=1000)
+        want = CapacityRequest(rank=(1.0,), cpu=1000)
         self.audience.set_request(want, receives_releases=False)
         self.assertFalse(self.audience.is_due)
         self.audience.set_request(None, receives_releases=True)
@@ -65,7 +69,7 @@
 class NeediestTests(TestCase):
     def make(self, *rank: float, cpu: int = 1000) -> CapacitySubscriber:
         audience = CapacitySubscriber()
-        audience.request = Want(rank=rank, cpu=cpu)
+        audience.request = CapacityRequest(rank=rank, cpu=cpu)
         return audience
 
     def test_the_most_urgent_want_that_fits_is_offered_the_room(self) -> None:
--- a/tests/fleet/test_refused_lines.py
+++ b/tests/fleet/test_refused_lines.py
@@ -7,11 +7,20 @@
 from typing import Any
 from unittest import mock
 
-from dalemast.core.scheduling import Forecast, JobRefused, LeftOut, RefusalCause
+from dalemast.core.scheduling import (
+    Forecast,
+    JobRefused,
+    RefusalCause,
+    WorkerExclusions,
+)
 from dalemast.fleet.base import JobRejected
 from dalemast.fleet.entry.job_tracker import JobTracker
 from tests.core.scheduling.base import make_step
-from tests.fleet.test_job_tracker import JOB, JobTrackerTestCase, make_job
+from tests.fleet.test_job_tracker import (
+    JOB,
+    JobTrackerTestCase,
+    make_job,
+)
 
 
 class RefusedLineTests(JobTrackerTestCase):
@@ -67,7 +76,7 @@
             needed_cpu=1000,
             free_cpu=0,
             view_age_s=0.0,
-            left_out=LeftOut(no_room=1),
+            left_out=WorkerExclusions(no_room=1),
             forecast=forecast,
         )
         with mock.patch("dalemast.fleet.entry.job_tracker.log_event") as log:
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -7,8 +7,12 @@
 
 import testtools
 
-from dalemast.core.scheduling import LoadPolicy, Want
-from dalemast.core.supervision import Supervisor, SupervisorLimits, WorkerIncarnation
+from dalemast.core.scheduling import CapacityRequest, LoadPolicy
+from dalemast.core.supervision import (
+    Supervisor,
+    SupervisorLimits,
+    WorkerIncarnation,
+)
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
@@ -48,7 +52,7 @@
         session = OwnerSession(link=mock.Mock(), links=mock.Mock())
         session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no one of them is offered the room before the others.
-        session.audience.request = Want(rank=(0.0,), cpu=8000)
+        session.audience.request = CapacityRequest(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
     def note(self, name: str, message: object) -> None:
