--- a/dalemast/bench/costs.py
+++ b/dalemast/bench/costs.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from dalemast.bench.policies import AFTERMATH_S, Play, make_simulation
-from dalemast.fleet.frames import Beat, PeerMessage
+from dalemast.fleet.frames import LinkHeartbeat, PeerMessage
 from dalemast.fleet.links import Dialer, Link, LinkListener, LinkRoute
 from dalemast.http.direct import DirectClient
 from dalemast.management.output import print_table
@@ -64,7 +64,7 @@
     def __init__(self, link: Link) -> None:
         self._link = link
 
-    def receive(self, messages: list[Beat]) -> None:
+    def receive(self, messages: list[LinkHeartbeat]) -> None:
         """Send the messages back."""
         for message in messages:
             self._link.send(message)
@@ -83,10 +83,10 @@
     def ask(self) -> asyncio.Future[None]:
         """Send a message; the future is done once it is back."""
         self._back = asyncio.get_running_loop().create_future()
-        self._link.send(Beat())
+        self._link.send(LinkHeartbeat())
         return self._back
 
-    def receive(self, messages: list[Beat]) -> None:
+    def receive(self, messages: list[LinkHeartbeat]) -> None:
         """Note that the message is back."""
         if self._back is not None:
             self._back.set_result(None)
--- a/dalemast/fleet/agent/dialling.py
+++ b/dalemast/fleet/agent/dialling.py
@@ -8,8 +8,8 @@
 
 from dalemast import clock
 from dalemast.core.ownership import KnownEntry, LinkBounds, choose_owners
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook
 from dalemast.fleet.frames import EntryMessage
 from dalemast.fleet.links import Dialer, Link
 from dalemast.fleet.paths import AGENTS_PATH
--- a/dalemast/fleet/agent/owner_sessions.py
+++ b/dalemast/fleet/agent/owner_sessions.py
@@ -8,7 +8,7 @@
 from dalemast.core.clocks import LeastLead
 from dalemast.core.supervision import RoomAudience
 from dalemast.fleet.base import Member
-from dalemast.fleet.frames import ClockAnswer, ClockAsk, EntryMessage, Reconciled, Said
+from dalemast.fleet.frames import ClockRequest, ClockResponse, EntryMessage, Reconciled, SentAt
 from dalemast.fleet.links import Link
 from dalemast.fleet.timing import STEADY_CLOCK_DRIFT
 
@@ -88,10 +88,10 @@
         """Tell whether the entry was asked for a sign of life and gave none in time."""
         return self._probed_at >= self.link.heard_at and now - self._probed_at > PROBE_PATIENCE_S
 
-    def forgive(self, late_s: float) -> None:
+    def reset_liveness(self, late_s: float) -> None:
         """Count the entry's silence as shorter, by a time in which this agent did not listen."""
         self._probed_at = min(self._probed_at + late_s, clock.monotonic())
-        self.link.forgive(late_s)
+        self.link.reset_liveness(late_s)
 
     def get_clock_pause_s(self) -> float:
         """Return the pause after the last question how the entry's clock goes."""
@@ -111,13 +111,13 @@
         """Ask how the entry's clock goes."""
         self.clock_asked_at = clock.monotonic()
         self._clock_questions += 1
-        self.link.send(ClockAsk(sent_at_ms=int(self.clock_asked_at * 1000)))
+        self.link.send(ClockRequest(sent_at_ms=int(self.clock_asked_at * 1000)))
 
-    def note_said(self, said: Said) -> None:
+    def note_said(self, said: SentAt) -> None:
         """Note when the frame that is being taken in was said."""
         self._said_ms = said.at_ms
 
-    def take_clock(self, answer: ClockAnswer) -> None:
+    def take_clock(self, answer: ClockResponse) -> None:
         """Take in how the entry's clock goes: it heard the question after it was sent."""
         lead_s = (answer.sent_at_ms - answer.heard_at_ms) / 1000
         self._lead.show(lead_s, now=clock.monotonic())
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -18,34 +18,34 @@
     Supervisor,
 )
 from dalemast.core.workloads import Resources, TaskKey
+from dalemast.fleet.address_book import AddressBook, to_member
 from dalemast.fleet.agent.dialling import OwnerDialling
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.relay import EntryRelay
 from dalemast.fleet.agent.reports import WorkerReports, make_leaving, to_row, to_want
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook, to_member
 from dalemast.fleet.crashes import CrashMemory, make_crashed
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
     AgentHello,
-    Beat,
-    Bye,
-    ClockAnswer,
-    EntriesAsk,
+    CapacityRequestUpdate,
+    ClockResponse,
     EntryHello,
     EntryMessage,
-    EvacuationNews,
-    MemberNews,
+    EvacuationUpdate,
+    Goodbye,
+    LinkHeartbeat,
+    MemberUpdate,
+    ReachableEntriesRequest,
     Reconciled,
     Relayed,
     RouteEnded,
-    RunCutShort,
+    RunDepartureRisk,
     RunEnded,
     RunSlow,
-    Said,
+    SentAt,
     Starts,
     Stop,
-    Wants,
 )
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import Metrics, log_event
@@ -109,7 +109,7 @@
     def stop_all(self) -> None:
         """Say goodbye and end all links."""
         for session in self._sessions.values():
-            session.link.send(Bye())
+            session.link.send(Goodbye())
             session.link.flush()
         self._dialling.stop()
 
@@ -193,7 +193,7 @@
         if session is None:
             return
         session.link.send(
-            RunCutShort(
+            RunDepartureRisk(
                 run=to_row(report.run_id),
                 left_s=round(report.left_s, 3),
                 leaves_in_s=round(report.leaves_in_s, 3),
@@ -204,14 +204,14 @@
         """Note that the room has changed; each entry is told when its pause is over."""
         self._reports.note_change(now=clock.monotonic())
 
-    def forgive_silence(self, late_s: float) -> None:
+    def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this agent did not listen off the silence of all links.
 
         Only links are forgiven. An owner's runs are stopped when it is silent, whoever's fault that
         is, since a caller may have submitted the job elsewhere meanwhile.
         """
         for session in self._sessions.values():
-            session.forgive(late_s)
+            session.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
         """Send beats and what room reports are due; give up silent links."""
@@ -228,7 +228,7 @@
             if now - session.clock_asked_at >= session.get_clock_pause_s():
                 session.ask_clock()
             elif now - session.link.sent_at >= pause_s:
-                session.link.send(Beat())
+                session.link.send(LinkHeartbeat())
             # A link that carries runs may be dead one by one, with the owner alive: its runs are
             # stopped anyway after this time, and only a new link gives it the worker back.
             is_followed = session.owner in followed
@@ -249,15 +249,15 @@
 
     def _take(self, session: OwnerSession, message: EntryMessage) -> None:
         match message:
-            case Said():
+            case SentAt():
                 session.note_said(message)
-            case ClockAnswer():
+            case ClockResponse():
                 session.take_clock(message)
             case EntryHello():
                 self._greet(session, message)
-            case EvacuationNews():
+            case EvacuationUpdate():
                 self._take_evacuations(session, message)
-            case MemberNews():
+            case MemberUpdate():
                 self._book.learn(to_member(row) for row in message.members)
             case Reconciled():
                 session.note_reconciled(message)
@@ -267,17 +267,17 @@
                 row = message.run
                 run_id = RunId(row.job, TaskKey(row.step, row.position), row.run)
                 self._stop(run_id, session.owner)
-            case Wants():
+            case CapacityRequestUpdate():
                 self._reports.take_want(session, message.want, now=clock.monotonic())
                 self._take_want(session.owner, session.audience.want, session.said_at)
-            case EntriesAsk():
+            case ReachableEntriesRequest():
                 self._relay.take_ask(session, message)
             case Relayed() | RouteEnded():
                 self._relay.pass_on(session, message)
-            case Beat() | Bye():
+            case LinkHeartbeat() | Goodbye():
                 pass
 
-    def _take_evacuations(self, session: OwnerSession, news: EvacuationNews) -> None:
+    def _take_evacuations(self, session: OwnerSession, news: EvacuationUpdate) -> None:
         """Take in what an entry has heard; one that is behind hears it from other entries."""
         self._evacuations.take(news, source=session.member.name if session.member else "entry")
 
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -11,11 +11,11 @@
 from dalemast.core.ownership import LinkBounds
 from dalemast.core.scheduling import LoadPolicy, Want
 from dalemast.core.supervision import Supervisor, SupervisorLimits
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.agent.owners import OwnerLinks
 from dalemast.fleet.agent.worker import WorkerLoop
 from dalemast.fleet.backends import load_backend
 from dalemast.fleet.base import BaseRegistration, BaseWorkerDriver
-from dalemast.fleet.book import AddressBook
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.pauses import PauseWatch
 from dalemast.fleet.process import TICK_S, BaseFleetProcess
@@ -131,9 +131,9 @@
         self._owners.stop_all()
         await self._registration.close()
 
-    def _forgive_silence(self, late_s: float) -> None:
+    def _reset_liveness_timers(self, late_s: float) -> None:
         """Take the time that this process was late itself off the silence of all links."""
-        self._owners.forgive_silence(late_s)
+        self._owners.reset_liveness_timers(late_s)
 
     def _recover_from_pause(self) -> None:
         """Drop all links: what waited there may be out of date."""
--- a/dalemast/fleet/agent/relay.py
+++ b/dalemast/fleet/agent/relay.py
@@ -13,7 +13,7 @@
 from dalemast import clock
 from dalemast.core.supervision import Supervisor
 from dalemast.fleet.agent.owner_sessions import OwnerSession
-from dalemast.fleet.frames import EntriesAsk, EntriesHeard, Relayed, RouteEnded
+from dalemast.fleet.frames import ReachableEntries, ReachableEntriesRequest, Relayed, RouteEnded
 
 __all__ = ["EntryRelay"]
 
@@ -38,7 +38,7 @@
         self._told = HeardEntries()
         """What was so when entries were told last."""
 
-    def take_ask(self, session: OwnerSession, ask: EntriesAsk) -> None:
+    def take_ask(self, session: OwnerSession, ask: ReachableEntriesRequest) -> None:
         """Answer an entry now and from now on, and find out whether its suspects are there."""
         session.entries_asked = ask.number
         now = clock.monotonic()
@@ -81,7 +81,7 @@
         return HeardEntries(owners=frozenset(self._sessions), left_jobs=frozenset(left))
 
     def _tell(self, session: OwnerSession, heard: HeardEntries) -> None:
-        news = EntriesHeard(
+        news = ReachableEntries(
             number=session.entries_asked or 0,
             entries=tuple(sorted(heard.owners - {session.owner})),
             left_jobs=tuple(sorted(heard.left_jobs)),
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -10,14 +10,14 @@
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.frames import (
-    ComingRow,
-    RoomComing,
-    RoomNews,
+    CapacityReleaseRow,
+    CapacityReleases,
+    CapacityReport,
+    CapacityRequestRow,
     RunRow,
-    WantRow,
     WorkerLeaving,
-    WorkerNews,
     WorkerPace,
+    WorkerReport,
 )
 from dalemast.observability import Metrics, log_event
 
@@ -37,7 +37,7 @@
     )
 
 
-def to_want(row: WantRow | None) -> Want | None:
+def to_want(row: CapacityRequestRow | None) -> Want | None:
     """Return what an entry's message says that it lacks room for."""
     if row is None:
         return None
@@ -69,7 +69,7 @@
         self._sessions = sessions
         self._policy = policy
         self._metrics = metrics
-        self._coming: tuple[float, tuple[ComingRow, ...]] = (float("-inf"), ())
+        self._coming: tuple[float, tuple[CapacityReleaseRow, ...]] = (float("-inf"), ())
         """When room comes free, as of a moment: owners that are told together are told the same."""
         self._ended_for: OwnerSession | None = None
         """The entry whose run has ended since room was last offered."""
@@ -96,7 +96,9 @@
         self._offer_room()
         self.send_due(now=now)
 
-    def take_want(self, session: OwnerSession, want: WantRow | None, *, now: float) -> None:
+    def take_want(
+        self, session: OwnerSession, want: CapacityRequestRow | None, *, now: float
+    ) -> None:
         """Take in what an entry lacks room for; if it wants none, the next one is offered it."""
         session.audience.take_want(to_want(want), hears_coming=self._policy.shares_demand)
         self._offer_room()
@@ -190,7 +192,7 @@
             self._send_coming(session, now)
         free = self._supervisor.get_free_for(session.owner)
         session.link.send(
-            RoomNews(
+            CapacityReport(
                 seen=session.seen,
                 cpu=free.cpu,
                 memory_mb=free.memory_mb,
@@ -207,13 +209,16 @@
         if not rows and not session.has_coming:
             return
         session.has_coming = bool(rows)
-        session.link.send(RoomComing(rows=rows))
+        session.link.send(CapacityReleases(rows=rows))
         self._metrics.count("room.coming-told")
 
-    def _get_coming_rows(self, now: float) -> tuple[ComingRow, ...]:
+    def _get_coming_rows(self, now: float) -> tuple[CapacityReleaseRow, ...]:
         if self._coming[0] != now:
             steps = self._supervisor.get_coming(now=now)
-            self._coming = (now, tuple(ComingRow(in_s=step.in_s, cpu=step.cpu) for step in steps))
+            self._coming = (
+                now,
+                tuple(CapacityReleaseRow(in_s=step.in_s, cpu=step.cpu) for step in steps),
+            )
         return self._coming[1]
 
     def _get_known(self) -> tuple[str, Resources | None]:
@@ -228,13 +233,13 @@
         number = session.begin_news()
         life = self._supervisor.life
         if life is None or not self._supervisor.has_settled:
-            news = WorkerNews(
+            news = WorkerReport(
                 id="", service="", cpu=0, memory_mb=0, gpu=0, labels=(), number=number
             )
             session.link.send(news)
             return
         runs = self._supervisor.get_owner_runs(session.owner)
-        news = WorkerNews(
+        news = WorkerReport(
             id=life.id,
             service=life.service,
             cpu=life.capacity.cpu,
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -76,7 +76,7 @@
         """Take who is told of ends and room."""
         self._owners = owners
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerLife) -> None:
         """Take in the worker's account of itself."""
         known = self._supervisor.life
         if known is not None and known.id == life.id and known.is_leaving != life.is_leaving:
@@ -107,12 +107,12 @@
             "worker:doubtful-report", worker=life_id, believed=believed.id if believed else ""
         )
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """Note that a life of the worker has said that it ends."""
         log_event("worker:deregistered", worker=life_id)
         self._change_life(lambda: self._supervisor.end_life(life_id))
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """Note that it was another writer that said so."""
         if self._supervisor.restore_life(life_id):
             log_event("worker:restored", worker=life_id)
@@ -195,7 +195,7 @@
         self._looked_at = clock.monotonic()
         plan = self._looks.plan(has_runs=is_waiting, now=self._looked_at)
         try:
-            look = await self._driver.look(plan, limit=self._supervisor.get_lease_limit())
+            look = await self._driver.poll(plan, limit=self._supervisor.get_lease_limit())
         except WorkerUnanswered:
             self._looks.note_unanswered()
             self._note_silence()
@@ -290,7 +290,7 @@
         if life.id == self._addressed_life:
             return
         self._addressed_life = life.id
-        self._driver.meet(life)
+        self._driver.register(life)
         self._looks.begin_life()
         self._refused = 0
         log_event("worker:met", worker=life.id, cpu=life.capacity.cpu)
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -33,7 +33,7 @@
     "JobOutcome",
     "JobTurnedAway",
     "Jobs",
-    "Look",
+    "PollResult",
     "Member",
     "WorkerGone",
     "WorkerObserver",
@@ -135,10 +135,10 @@
 class DeclarationObserver(Protocol):
     """Hears what operators declare."""
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in what an answer of the store says of evacuations, also if nothing has changed."""
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def handle_configuration(self, configuration: Configuration) -> None:
         """Take in a configuration as it is accepted."""
 
 
@@ -167,7 +167,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Look:
+class PollResult:
     """What a worker lists. ``asked_at`` is when it was asked, on the agent's steady clock."""
 
     running: tuple[ListedRun, ...]
@@ -196,7 +196,7 @@
         """When everything on the worker has surely lapsed, by what was sent so far."""
 
     @abc.abstractmethod
-    def meet(self, life: WorkerLife) -> None:
+    def register(self, life: WorkerLife) -> None:
         """Address all further calls to this life."""
 
     @abc.abstractmethod
@@ -212,7 +212,7 @@
         """Order a stop; return whether it was answered."""
 
     @abc.abstractmethod
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def poll(self, plan: LookPlan, *, limit: float) -> PollResult:
         """Ask what runs and what ended, and renew the lease if that is planned.
 
         ``limit`` is until when the worker may be told to run on, by the agent's steady clock.
@@ -224,13 +224,13 @@
 class WorkerObserver(Protocol):
     """What a registration tells."""
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerLife) -> None:
         """A worker has reported."""
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """A worker has said that it ends."""
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """What was reported of a worker's life was another writer's, also that it ends."""
 
 
--- a/dalemast/fleet/crashes.py
+++ b/dalemast/fleet/crashes.py
@@ -7,7 +7,7 @@
 
 from dalemast.core.scheduling import CrashedTask, RunPresumedOver
 from dalemast.core.workloads import TaskKey
-from dalemast.fleet.frames import Crashed, CrashedRow
+from dalemast.fleet.frames import CrashedRow, WorkerCrashed
 
 __all__ = ["CrashMemory", "make_crashed", "make_unseen", "read_crashed"]
 
@@ -23,14 +23,14 @@
     """
 
     def __init__(self) -> None:
-        self._crashes: deque[Crashed] = deque(maxlen=MAX_CRASHES)
+        self._crashes: deque[WorkerCrashed] = deque(maxlen=MAX_CRASHES)
 
     @property
-    def crashes(self) -> tuple[Crashed, ...]:
+    def crashes(self) -> tuple[WorkerCrashed, ...]:
         """What entries are told when they are met."""
         return tuple(self._crashes)
 
-    def add(self, crashed: Crashed) -> None:
+    def add(self, crashed: WorkerCrashed) -> None:
         """Remember a crash; the oldest one goes."""
         self._drop(crashed.worker)
         self._crashes.append(crashed)
@@ -45,9 +45,11 @@
         self._crashes = deque(kept, maxlen=MAX_CRASHES)
 
 
-def make_crashed(worker: str, tasks: Iterable[CrashedTask], *, is_seen: bool = True) -> Crashed:
+def make_crashed(
+    worker: str, tasks: Iterable[CrashedTask], *, is_seen: bool = True
+) -> WorkerCrashed:
     """Return the message on a crash."""
-    return Crashed(
+    return WorkerCrashed(
         worker=worker,
         is_seen=is_seen,
         tasks=tuple(
@@ -63,13 +65,13 @@
     )
 
 
-def make_unseen(over: RunPresumedOver) -> Crashed:
+def make_unseen(over: RunPresumedOver) -> WorkerCrashed:
     """Return the message on a run that nobody saw end: its worker may have, or its agent."""
     task = CrashedTask(job_id=over.job_id, task=over.task, age_s=None)
     return make_crashed(over.worker, [task], is_seen=False)
 
 
-def read_crashed(news: Crashed) -> list[CrashedTask]:
+def read_crashed(news: WorkerCrashed) -> list[CrashedTask]:
     """Return the tasks that a message names."""
     return [
         CrashedTask(
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -22,8 +22,8 @@
     WorkerView,
 )
 from dalemast.core.workloads import Resources, TaskKey
+from dalemast.fleet.address_book import AddressBook, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook, to_row
 from dalemast.fleet.crashes import make_crashed, read_crashed
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
@@ -32,28 +32,30 @@
 from dalemast.fleet.frames import (
     AgentHello,
     AgentMessage,
-    Beat,
-    Bye,
-    ClockAnswer,
-    ClockAsk,
-    Crashed,
-    EntriesHeard,
+    CapacityReleases,
+    CapacityRequestUpdate,
+    ClockRequest,
+    ClockResponse,
     EntryHello,
-    MemberNews,
+    Goodbye,
+    LinkHeartbeat,
+    MemberUpdate,
+    ReachableEntries,
     Reconciled,
     Relayed,
-    RoomComing,
-    RoomNews,
     RouteEnded,
-    RunCutShort,
+    RunDepartureRisk,
     RunEnded,
     RunSlow,
-    Said,
+    SentAt,
     Stop,
-    Wants,
+    WorkerCrashed,
     WorkerLeaving,
-    WorkerNews,
     WorkerPace,
+    WorkerReport,
+)
+from dalemast.fleet.frames import (
+    CapacityReport as CapacityFrame,
 )
 from dalemast.fleet.links import Link
 from dalemast.fleet.timing import FleetTimes
@@ -90,7 +92,7 @@
         get_checked_at: Callable[[], float],
         check_pause: Callable[[], bool],
         note_end: Callable[[RunEnded, str], None],
-        tell_peers: Callable[[Crashed], None],
+        tell_peers: Callable[[WorkerCrashed], None],
     ) -> None:
         self._member = member
         self._book = book
@@ -126,7 +128,7 @@
 
     def tell_members(self, members: Iterable[Member]) -> None:
         """Pass on entries that were learned of."""
-        news = MemberNews(members=tuple(to_row(member) for member in members))
+        news = MemberUpdate(members=tuple(to_row(member) for member in members))
         if news.members:
             for session in self._sessions.values():
                 session.link.send(news)
@@ -154,7 +156,7 @@
 
     def ask(self, asked: AskRoom) -> None:
         """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_want(asked.want))
+        message = CapacityRequestUpdate(want=make_want(asked.want))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -168,37 +170,37 @@
         """Take in one message."""
         assert self._routes is not None
         match message:
-            case ClockAsk():
+            case ClockRequest():
                 self._answer_clock(session, message)
             case AgentHello():
                 self._greet(session, message)
-            case WorkerNews():
+            case WorkerReport():
                 self._meet_worker(session, message)
-            case RoomNews():
+            case CapacityFrame():
                 self._update_room(session, message)
-            case RoomComing():
+            case CapacityReleases():
                 self._note_coming_room(session, message)
             case WorkerPace():
                 self._note_speed(session, message)
             case WorkerLeaving():
                 self._note_leaving(session, message)
-            case RunCutShort():
+            case RunDepartureRisk():
                 self._note_cut_short(session, message)
-            case Crashed():
+            case WorkerCrashed():
                 self._note_crash(message)
             case RunEnded():
                 self._end_run(session, message)
             case RunSlow():
                 self._report_slow(session, message)
-            case EntriesHeard():
+            case ReachableEntries():
                 self._routes.take_heard(session, message)
             case Relayed():
                 self._routes.take_frame(session, message)
             case RouteEnded():
                 self._routes.take_end(session, message)
-            case Bye():
+            case Goodbye():
                 session.is_ending = True
-            case Beat():
+            case LinkHeartbeat():
                 pass
 
     def end_session(self, session: AgentSession, reason: str) -> None:
@@ -213,10 +215,10 @@
         if self._routes is not None:
             self._routes.remove_agent(session)
 
-    def forgive_silence(self, late_s: float) -> None:
+    def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all agents."""
         for session in self._sessions.values():
-            session.link.forgive(late_s)
+            session.link.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
         """Send beats and give up silent links."""
@@ -235,7 +237,7 @@
         times = self._times
         link = session.link
         if now - link.sent_at >= (times.beat_s if is_busy else times.idle_beat_s):
-            link.send(Beat())
+            link.send(LinkHeartbeat())
         heard_at = max(link.heard_at, session.active_since or 0.0)
         silence_s = now - heard_at
         if silence_s > (times.silence_s if is_busy else times.idle_silence_s):
@@ -245,16 +247,16 @@
         if session.active_since is None:
             session.active_since = clock.monotonic()
 
-    def _make_said(self) -> Said:
+    def _make_said(self) -> SentAt:
         """Return when what follows is said: when this process last knew that it ran on.
 
         It may have stood still since, between a decision and its sending.
         """
-        return Said(at_ms=int(self._get_checked_at() * 1000))
+        return SentAt(at_ms=int(self._get_checked_at() * 1000))
 
-    def _answer_clock(self, session: AgentSession, asked: ClockAsk) -> None:
+    def _answer_clock(self, session: AgentSession, asked: ClockRequest) -> None:
         heard_at_ms = math.ceil(clock.monotonic() * 1000)
-        session.link.send(ClockAnswer(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        session.link.send(ClockResponse(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
 
     def _greet(self, session: AgentSession, hello: AgentHello) -> None:
         before = self._sessions.get(hello.name)
@@ -266,12 +268,12 @@
         evacuations = self._evacuations.make_news()
         if evacuations is not None:
             session.link.send(evacuations)
-        session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
+        session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
         log_event("agent:link", agent=hello.name)
         if self._routes is not None:
             self._routes.add_agent(session)
 
-    def _meet_worker(self, session: AgentSession, news: WorkerNews) -> None:
+    def _meet_worker(self, session: AgentSession, news: WorkerReport) -> None:
         hello = session.hello
         if hello is None:
             return
@@ -315,7 +317,7 @@
             del self._by_worker[worker]
             self._apply(self._scheduler.lose_worker(worker, now=clock.monotonic()))
 
-    def _update_room(self, session: AgentSession, news: RoomNews) -> None:
+    def _update_room(self, session: AgentSession, news: CapacityFrame) -> None:
         report = RoomReport(
             seen=news.seen,
             free=Resources(cpu=news.cpu, memory_mb=news.memory_mb, gpu=news.gpu),
@@ -325,7 +327,7 @@
         now = clock.monotonic()
         self._apply(self._scheduler.update_worker(session.worker, report, now=now))
 
-    def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
+    def _note_coming_room(self, session: AgentSession, news: CapacityReleases) -> None:
         rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
         self._scheduler.note_coming_room(session.worker, rows, now=clock.monotonic())
 
@@ -348,7 +350,7 @@
             believed=view.kind_slowness if view else None,
         )
 
-    def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
+    def _note_cut_short(self, session: AgentSession, news: RunDepartureRisk) -> None:
         row = news.run
         report = CutShort(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
         key = TaskKey(row.step, row.position)
@@ -357,23 +359,23 @@
         )
         self._apply(actions)
 
-    def _note_crash(self, news: Crashed) -> None:
+    def _note_crash(self, news: WorkerCrashed) -> None:
         """Take in a crash, and tell the peers of the tasks that this entry owns."""
         own = tuple(row for row in news.tasks if row.job in self._scheduler.open_jobs)
         if own:
-            self._tell_peers(Crashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
+            self._tell_peers(WorkerCrashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
         self._take_crash(news, is_hearsay=False)
 
-    def take_hearsay(self, news: Crashed) -> None:
+    def take_hearsay(self, news: WorkerCrashed) -> None:
         """Take in a crash that a peer tells of."""
         self._take_crash(news, is_hearsay=True)
 
-    def make_hearsay(self) -> list[Crashed]:
+    def make_hearsay(self) -> list[WorkerCrashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
         return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
 
-    def _take_crash(self, news: Crashed, *, is_hearsay: bool) -> None:
+    def _take_crash(self, news: WorkerCrashed, *, is_hearsay: bool) -> None:
         actions = self._scheduler.note_crash(
             news.worker,
             read_crashed(news),
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -12,7 +12,7 @@
 from dalemast.core.ownership import Claims, Granted, Held, choose_home
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.frames import Claim, ClaimAnswer, Release, Yield
+from dalemast.fleet.frames import Claim, ClaimResponse, Release, Yield
 from dalemast.observability import log_event
 
 __all__ = ["JobClaims", "OwnJobs", "PeerSearch"]
@@ -152,11 +152,11 @@
             return
         result = self._grant(claim.job, session.member.incarnation)
         if isinstance(result, Granted):
-            session.link.send(ClaimAnswer(number=claim.number, is_granted=True))
+            session.link.send(ClaimResponse(number=claim.number, is_granted=True))
             return
         lapses_in_s = -1.0 if result.free_at is None else result.free_at - clock.monotonic()
         session.link.send(
-            ClaimAnswer(
+            ClaimResponse(
                 number=claim.number,
                 is_granted=False,
                 holder=result.owner,
@@ -164,7 +164,7 @@
             )
         )
 
-    def take_answer(self, answer: ClaimAnswer) -> None:
+    def take_answer(self, answer: ClaimResponse) -> None:
         """Take in an answer, unless it came too late."""
         question = self._asked.pop(answer.number, None)
         if question is not None and not question.answer.done():
@@ -226,7 +226,7 @@
             if question.session is session and not question.answer.done():
                 question.answer.set_result(None)
 
-    def note_standstill(self) -> None:
+    def note_process_pause(self) -> None:
         """Begin anew after this process stood still: it has to meet the others before it grants.
 
         They may have given it up and granted its ids, and one that it reaches none of would grant
@@ -287,7 +287,7 @@
 
     async def _ask_all(
         self, sessions: Iterable[PeerSession], job_id: str, timeout_s: float
-    ) -> dict[PeerSession, ClaimAnswer | None]:
+    ) -> dict[PeerSession, ClaimResponse | None]:
         """Ask for an id on these links; return the answers, None for each that was not given."""
         asked = {session: self._ask(session, job_id) for session in sessions}
         await asyncio.wait([question.answer for question in asked.values()], timeout=timeout_s)
@@ -357,18 +357,18 @@
     """A claim that waits for its answer, which is None once its link has ended."""
 
     session: PeerSession
-    answer: asyncio.Future[ClaimAnswer | None]
+    answer: asyncio.Future[ClaimResponse | None]
 
-    def read(self) -> ClaimAnswer | None:
+    def read(self) -> ClaimResponse | None:
         """Return the answer if it was given."""
         return self.answer.result() if self.answer.done() else None
 
 
-def _is_grant(answer: ClaimAnswer | None) -> bool:
+def _is_grant(answer: ClaimResponse | None) -> bool:
     return answer is not None and answer.is_granted
 
 
-def _find_refusal(answers: Iterable[ClaimAnswer | None]) -> Held | None:
+def _find_refusal(answers: Iterable[ClaimResponse | None]) -> Held | None:
     """Return the first answer that names another owner."""
     for answer in answers:
         if answer is not None and not answer.is_granted and answer.holder:
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -11,7 +11,7 @@
 from dalemast.core.scheduling.telling import get_news_pause_s
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.frames import DemandNews, DemandRow
+from dalemast.fleet.frames import DemandReport, DemandRow
 from dalemast.fleet.links import encode_message
 from dalemast.observability import Metrics, log_event
 
@@ -62,7 +62,7 @@
         self._metrics.count("demand.told", len(due))
         self._log_waiting(words, now)
 
-    def take(self, member: Member, news: DemandNews) -> None:
+    def take(self, member: Member, news: DemandReport) -> None:
         """Take in all that waits at a peer."""
         if not self._is_on:
             return
@@ -136,8 +136,8 @@
         return True
 
 
-def _make_news(words: tuple[LoadWord, ...]) -> DemandNews:
-    return DemandNews(
+def _make_news(words: tuple[LoadWord, ...]) -> DemandReport:
+    return DemandReport(
         rows=tuple(
             DemandRow(
                 service=word.service,
--- a/dalemast/fleet/entry/news.py
+++ b/dalemast/fleet/entry/news.py
@@ -13,10 +13,10 @@
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.frames import (
-    ConfigurationAsk,
-    ConfigurationLater,
-    ConfigurationNews,
-    VersionNews,
+    ConfigurationDeferred,
+    ConfigurationRequest,
+    ConfigurationUpdate,
+    VersionAnnouncement,
 )
 from dalemast.fleet.links import encode_message
 from dalemast.observability import log_event
@@ -51,7 +51,7 @@
         if current is not None:
             session.link.send(self._make_version_news(current))
 
-    def take_version(self, session: PeerSession, news: VersionNews) -> None:
+    def take_version(self, session: PeerSession, news: VersionAnnouncement) -> None:
         """Take in which version a peer has."""
         name = session.name
         if not name:
@@ -59,7 +59,7 @@
         self._copies.note_arrived(name)
         self._missing.note_peer(name, news.version, news.size_bytes, now=clock.monotonic())
 
-    def give(self, session: PeerSession, ask: ConfigurationAsk) -> None:
+    def give(self, session: PeerSession, ask: ConfigurationRequest) -> None:
         """Send the configuration to a peer that lacks it, or say that others come first.
 
         It may be of megabytes, which is too much for an agent to relay.
@@ -69,7 +69,7 @@
             return
         copy_s = get_copy_s(len(self._encoded))
         if not self._copies.take(session.name, now=clock.monotonic(), copy_s=copy_s):
-            session.link.send(ConfigurationLater(version=ask.version))
+            session.link.send(ConfigurationDeferred(version=ask.version))
             return
         log_event("configuration:given", peer=session.name, version=current.version)
         session.link.send(msgspec.Raw(self._encoded))
@@ -78,7 +78,7 @@
         """Note that a peer gives the configuration to others first."""
         self._missing.note_later(session.name, now=clock.monotonic())
 
-    def take_configuration(self, session: PeerSession, news: ConfigurationNews) -> None:
+    def take_configuration(self, session: PeerSession, news: ConfigurationUpdate) -> None:
         """Take in a configuration that a peer sent."""
         offered = Configuration(version=news.version, queues=news.queues)
         self._configuration.offer(offered, source=session.name or "peer")
@@ -99,18 +99,18 @@
             self._missing.note_later(ask.peer, now=now)
             return
         log_event("configuration:asked", peer=ask.peer, version=ask.version)
-        session.link.send(ConfigurationAsk(version=ask.version))
+        session.link.send(ConfigurationRequest(version=ask.version))
 
     def _tell_all(self, configuration: Configuration) -> None:
-        message = ConfigurationNews(version=configuration.version, queues=configuration.queues)
+        message = ConfigurationUpdate(version=configuration.version, queues=configuration.queues)
         self._encoded = encode_message(message)
         self._missing.note_own(configuration.version)
         _send_all(self._dialled.values(), self._make_version_news(configuration))
 
-    def _make_version_news(self, configuration: Configuration) -> VersionNews:
-        return VersionNews(version=configuration.version, size_bytes=len(self._encoded))
+    def _make_version_news(self, configuration: Configuration) -> VersionAnnouncement:
+        return VersionAnnouncement(version=configuration.version, size_bytes=len(self._encoded))
 
 
-def _send_all(sessions: Iterable[PeerSession], news: VersionNews) -> None:
+def _send_all(sessions: Iterable[PeerSession], news: VersionAnnouncement) -> None:
     for session in sessions:
         session.link.send(news)
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -10,8 +10,8 @@
 
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
+from dalemast.fleet.address_book import AddressBook, to_member, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook, to_member, to_row
 from dalemast.fleet.entry.claims import JobClaims, OwnJobs
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.demand import DemandExchange
@@ -20,21 +20,21 @@
 from dalemast.fleet.entry.routes import PeerRoutes
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
-    Beat,
-    Bye,
     Claim,
-    ClaimAnswer,
-    ConfigurationAsk,
-    ConfigurationLater,
-    ConfigurationNews,
-    Crashed,
-    DemandNews,
-    EvacuationNews,
-    MemberNews,
+    ClaimResponse,
+    ConfigurationDeferred,
+    ConfigurationRequest,
+    ConfigurationUpdate,
+    DemandReport,
+    EvacuationUpdate,
+    Goodbye,
+    LinkHeartbeat,
+    MemberUpdate,
     PeerHello,
     PeerMessage,
     Release,
-    VersionNews,
+    VersionAnnouncement,
+    WorkerCrashed,
     Yield,
 )
 from dalemast.fleet.links import BaseLink, Dialer, Link, RelayedLink
@@ -69,8 +69,8 @@
         times: FleetTimes,
         jobs: OwnJobs,
         tell_agents: Callable[[Iterable[Member]], None],
-        take_crash: Callable[[Crashed], None],
-        make_crashes: Callable[[], list[Crashed]],
+        take_crash: Callable[[WorkerCrashed], None],
+        make_crashes: Callable[[], list[WorkerCrashed]],
         demand: DemandExchange,
     ) -> None:
         self._member = member
@@ -142,7 +142,7 @@
     def stop(self) -> None:
         """Say goodbye and end all links."""
         for session in self._sessions:
-            session.link.send(Bye())
+            session.link.send(Goodbye())
             session.link.flush()
         for dialer in self._dialers.values():
             dialer.stop()
@@ -169,7 +169,7 @@
         for session in self._dialled.values():
             session.link.send(news)
 
-    def tell_crash(self, crashed: Crashed) -> None:
+    def tell_crash(self, crashed: WorkerCrashed) -> None:
         """Tell all entries of tasks here under which a worker has crashed.
 
         The caller may ask any of them next, and not every one has a link with that worker's agent.
@@ -183,7 +183,7 @@
         if not news:
             return
         for session in self._dialled.values():
-            session.link.send(MemberNews(members=tuple(to_row(member) for member in news)))
+            session.link.send(MemberUpdate(members=tuple(to_row(member) for member in news)))
         self._tell_agents(news)
 
     def take(self, session: PeerSession, message: PeerMessage) -> None:
@@ -191,33 +191,33 @@
         match message:
             case PeerHello():
                 self._greet(session, message)
-            case MemberNews():
+            case MemberUpdate():
                 self.learn([to_member(row) for row in message.members])
-            case EvacuationNews():
+            case EvacuationUpdate():
                 self._take_evacuations(session, message)
-            case VersionNews():
+            case VersionAnnouncement():
                 self._take_version(session, message)
-            case ConfigurationAsk():
+            case ConfigurationRequest():
                 self._news.give(session, message)
-            case ConfigurationLater():
+            case ConfigurationDeferred():
                 self._news.take_later(session)
-            case ConfigurationNews():
+            case ConfigurationUpdate():
                 self._news.take_configuration(session, message)
             case Claim():
                 self._claims.answer(session, message)
-            case ClaimAnswer():
+            case ClaimResponse():
                 self._claims.take_answer(message)
             case Release():
                 self._claims.take_release(session, message)
             case Yield():
                 self._claims.take_yield(session, message)
-            case Crashed():
+            case WorkerCrashed():
                 self._take_crash(message)
-            case DemandNews():
+            case DemandReport():
                 self._take_demand(session, message)
-            case Bye():
+            case Goodbye():
                 session.is_ending = True
-            case Beat():
+            case LinkHeartbeat():
                 self._check_own_link(session, is_heard=message.hears_other)
 
     def end_session(self, session: PeerSession) -> None:
@@ -232,15 +232,15 @@
         if not session.is_dialled and self._accepted.get(member.incarnation) is session:
             self._lose_accepted(session, member)
 
-    def note_standstill(self) -> None:
+    def note_process_pause(self) -> None:
         """Meet the others anew after this process stood still; they may have given it up."""
         self._met.clear()
-        self._claims.note_standstill()
+        self._claims.note_process_pause()
 
-    def forgive_silence(self, late_s: float) -> None:
+    def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all others."""
         for session in self._sessions:
-            session.link.forgive(late_s)
+            session.link.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
         """Send beats, give up silent links, forget owners that are gone."""
@@ -251,7 +251,7 @@
             # What a busy link carries stands for its beats, but does not tell of the other link.
             is_due = now - session.link.sent_at >= beat_s or not hears_other
             if is_due and self._carries_beats(session):
-                session.link.send(Beat(hears_other=hears_other))
+                session.link.send(LinkHeartbeat(hears_other=hears_other))
             if now - self._get_heard_at(session) > SILENT_BEATS * beat_s:
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
@@ -261,7 +261,7 @@
         self._claims.sweep(now)
         self._news.tick(now)
 
-    def _take_demand(self, session: PeerSession, news: DemandNews) -> None:
+    def _take_demand(self, session: PeerSession, news: DemandReport) -> None:
         """Take in what waits at a peer, if it comes by the link that the peer uses now."""
         member = session.member
         if member is not None and self._accepted.get(member.incarnation) is session:
@@ -379,7 +379,7 @@
         session.member = member
         self._met.add(member.name)
         self.learn([member])
-        session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
+        session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
         self._claims.take_open_ids(session, hello.jobs)
         self._claims.note_greeted(session)
         if session.is_dialled:
@@ -419,12 +419,12 @@
         if before is not None and before is not session and not before.is_relayed:
             self.end_session(before)
 
-    def _take_version(self, session: PeerSession, news: VersionNews) -> None:
+    def _take_version(self, session: PeerSession, news: VersionAnnouncement) -> None:
         """Take in a version, unless it could come by way of an agent alone."""
         if not session.is_relayed:
             self._news.take_version(session, news)
 
-    def _take_evacuations(self, session: PeerSession, news: EvacuationNews) -> None:
+    def _take_evacuations(self, session: PeerSession, news: EvacuationUpdate) -> None:
         answer = self._evacuations.take(news, source=session.name or "peer")
         if answer is not None:
             session.link.send(answer)
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -17,6 +17,7 @@
     SchedulerLimits,
 )
 from dalemast.core.workloads import JobRequest, QueueTable
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.backends import load_backend
 from dalemast.fleet.base import (
     BaseIngress,
@@ -25,7 +26,6 @@
     JobTurnedAway,
     Member,
 )
-from dalemast.fleet.book import AddressBook
 from dalemast.fleet.crashes import make_unseen
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.entry.configuration import ConfigurationInForce
@@ -156,11 +156,11 @@
         """Cancel a job whose caller has hung up."""
         self._desk.leave(job_id)
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in what the store says of evacuations."""
         self._evacuations.offer(self._evacuation_record.apply(changes), source="store")
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def handle_configuration(self, configuration: Configuration) -> None:
         """Take in a configuration from the store."""
         self._configuration.offer(configuration, source="store")
 
@@ -273,14 +273,14 @@
         await self._ingress.close()
         await self._listener.close()
 
-    def _forgive_silence(self, late_s: float) -> None:
+    def _reset_liveness_timers(self, late_s: float) -> None:
         """Take the time that this process was late itself off the silence of all links."""
-        self._agents.forgive_silence(late_s)
-        self._peers.forgive_silence(late_s)
+        self._agents.reset_liveness_timers(late_s)
+        self._peers.reset_liveness_timers(late_s)
 
     def _recover_from_pause(self) -> None:
         """Give up the jobs that have begun: their runs may have lapsed meanwhile."""
-        self._peers.note_standstill()
+        self._peers.note_process_pause()
         self._desk.abandon_begun(clock.monotonic())
 
     @property
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -25,9 +25,9 @@
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.frames import (
-    EntriesAsk,
-    EntriesHeard,
     PeerMessage,
+    ReachableEntries,
+    ReachableEntriesRequest,
     Relayed,
     RouteEnded,
 )
@@ -153,7 +153,7 @@
         for session in self._views:
             self._ask(session)
 
-    def take_heard(self, session: AgentSession, news: EntriesHeard) -> None:
+    def take_heard(self, session: AgentSession, news: ReachableEntries) -> None:
         """Take in whom an agent hears."""
         if session not in self._views:
             return
@@ -194,7 +194,7 @@
             del self._suspects[incarnation]
 
     def _ask(self, session: AgentSession) -> None:
-        ask = EntriesAsk(number=self._asked, suspects=tuple(self._suspects))
+        ask = ReachableEntriesRequest(number=self._asked, suspects=tuple(self._suspects))
         session.link.send(ask)
 
     def _is_waiting(self) -> bool:
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -4,7 +4,7 @@
 
 from dalemast.core.scheduling import StartTask, Want
 from dalemast.core.workloads import TaskKey
-from dalemast.fleet.frames import RunRow, StartRow, Starts, WantRow
+from dalemast.fleet.frames import CapacityRequestRow, RunRow, StartRow, Starts
 
 __all__ = ["make_row", "make_starts", "make_want"]
 
@@ -14,11 +14,11 @@
     return RunRow(job=job_id, step=task.step, position=task.position, run=run)
 
 
-def make_want(want: Want | None) -> WantRow | None:
+def make_want(want: Want | None) -> CapacityRequestRow | None:
     """Return what an owner lacks room for, to a tenth of a millisecond."""
     if want is None:
         return None
-    return WantRow(
+    return CapacityRequestRow(
         rank=tuple(round(part, 4) for part in want.rank),
         cpu=want.cpu,
         preempts_from=-1 if want.preempts_from is None else want.preempts_from,
--- a/dalemast/fleet/evacuations.py
+++ b/dalemast/fleet/evacuations.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from dalemast.core.evacuations import Evacuations, EvacuationView
-from dalemast.fleet.frames import EvacuationNews
+from dalemast.fleet.frames import EvacuationUpdate
 from dalemast.observability import Metrics, log_event
 
 __all__ = ["EVACUATION_CHANGES", "EvacuationsInForce"]
@@ -49,7 +49,7 @@
         for listener in self._listeners:
             listener(offered)
 
-    def take(self, news: EvacuationNews, *, source: str) -> EvacuationNews | None:
+    def take(self, news: EvacuationUpdate, *, source: str) -> EvacuationUpdate | None:
         """Take in another process's report; return what it should hear if that is out of date."""
         offered = Evacuations(version=news.version, data_centres=frozenset(news.data_centres))
         if self._view.contradicts(offered):
@@ -57,11 +57,11 @@
         self.offer(offered, source=source)
         return None
 
-    def make_news(self) -> EvacuationNews | None:
+    def make_news(self) -> EvacuationUpdate | None:
         """Return what another process should hear, or None while nothing is known."""
         current = self._view.current
         if current is None:
             return None
-        return EvacuationNews(
+        return EvacuationUpdate(
             version=current.version, data_centres=tuple(sorted(current.data_centres))
         )
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -18,49 +18,49 @@
 __all__ = [
     "AgentHello",
     "AgentMessage",
-    "Beat",
-    "Bye",
+    "LinkHeartbeat",
+    "Goodbye",
     "Claim",
-    "ClaimAnswer",
-    "ClockAnswer",
-    "ClockAsk",
-    "ConfigurationAsk",
-    "ConfigurationLater",
+    "ClaimResponse",
+    "ClockResponse",
+    "ClockRequest",
+    "ConfigurationRequest",
+    "ConfigurationDeferred",
     "ConfigurationMessage",
-    "ConfigurationNews",
-    "ComingRow",
-    "Crashed",
+    "ConfigurationUpdate",
+    "CapacityReleaseRow",
+    "WorkerCrashed",
     "CrashedRow",
-    "DemandNews",
+    "DemandReport",
     "DemandRow",
-    "EntriesAsk",
-    "EntriesHeard",
+    "ReachableEntriesRequest",
+    "ReachableEntries",
     "EntryHello",
     "EntryMessage",
-    "EvacuationNews",
-    "MemberNews",
+    "EvacuationUpdate",
+    "MemberUpdate",
     "MemberRow",
     "PeerHello",
     "PeerMessage",
     "Reconciled",
     "Relayed",
     "Release",
-    "RoomComing",
-    "RoomNews",
+    "CapacityReleases",
+    "CapacityReport",
     "RouteEnded",
-    "RunCutShort",
+    "RunDepartureRisk",
     "RunEnded",
     "RunRow",
     "RunSlow",
-    "Said",
+    "SentAt",
     "StartRow",
     "Starts",
     "Stop",
-    "VersionNews",
-    "WantRow",
-    "Wants",
+    "VersionAnnouncement",
+    "CapacityRequestRow",
+    "CapacityRequestUpdate",
     "WorkerLeaving",
-    "WorkerNews",
+    "WorkerReport",
     "WorkerPace",
     "Yield",
     "decode_frame",
@@ -89,7 +89,7 @@
     run: int
 
 
-class Beat(Message, frozen=True, tag="b"):
+class LinkHeartbeat(Message, frozen=True, tag="b"):
     """Nothing new; the sender is alive.
 
     Between entries ``hears_other`` tells whether the sender still hears the other one on the link
@@ -99,7 +99,7 @@
     hears_other: bool = True
 
 
-class Said(Message, frozen=True, tag="t"):
+class SentAt(Message, frozen=True, tag="t"):
     """When the rest of the frame was said, by the sender's steady clock, in milliseconds.
 
     It may have been said later, never earlier. A frame may wait on its way, or at a receiver that
@@ -109,13 +109,13 @@
     at_ms: int
 
 
-class ClockAsk(Message, frozen=True, tag="k"):
+class ClockRequest(Message, frozen=True, tag="k"):
     """Ask how the other end's clock goes; ``sent_at_ms`` is the sender's."""
 
     sent_at_ms: int
 
 
-class ClockAnswer(Message, frozen=True, tag="K"):
+class ClockResponse(Message, frozen=True, tag="K"):
     """``heard_at_ms`` is when the question arrived, by the clock of who answers."""
 
     sent_at_ms: int
@@ -128,7 +128,7 @@
     member: MemberRow
 
 
-class EvacuationNews(Message, frozen=True, tag="e"):
+class EvacuationUpdate(Message, frozen=True, tag="e"):
     """The evacuated data centres as of a version of the store; see ``Evacuations``.
 
     Entries tell agents and one another, before anything that could make a task start.
@@ -138,7 +138,7 @@
     data_centres: tuple[str, ...]
 
 
-class MemberNews(Message, frozen=True, tag="m"):
+class MemberUpdate(Message, frozen=True, tag="m"):
     """Entries that the sender has learned of."""
 
     members: tuple[MemberRow, ...]
@@ -161,7 +161,7 @@
     spare_s: float = -1.0
 
 
-class WantRow(Message, frozen=True):
+class CapacityRequestRow(Message, frozen=True):
     """What an owner lacks room for, as in :class:`dalemast.core.scheduling.Want`.
 
     ``preempts_from`` is negative if no run may give way.
@@ -172,10 +172,10 @@
     preempts_from: int = -1
 
 
-class Wants(Message, frozen=True, tag="w"):
+class CapacityRequestUpdate(Message, frozen=True, tag="w"):
     """What an owner lacks room for, or that it lacks none."""
 
-    want: WantRow | None
+    want: CapacityRequestRow | None
 
 
 class Starts(Message, frozen=True, tag="s"):
@@ -184,7 +184,7 @@
     job: str
     payload: str
     tasks: tuple[StartRow, ...]
-    want: WantRow | None = None
+    want: CapacityRequestRow | None = None
     """What the owner still lacks room for."""
     priority: int = 0
     """The job's priority; 0 is the most urgent."""
@@ -196,12 +196,12 @@
     run: RunRow
 
 
-class Bye(Message, frozen=True, tag="q"):
+class Goodbye(Message, frozen=True, tag="q"):
     """The sender ends as planned and has nothing left open."""
 
 
 class Reconciled(Message, frozen=True, tag="o"):
-    """The entry has compared the runs that the ``WorkerNews`` of this number lists with its jobs.
+    """The entry has compared the runs that the ``WorkerReport`` of this number lists with its jobs.
 
     It has told by now which ones to stop, and its words keep the others alive from here on.
     """
@@ -217,7 +217,7 @@
     data_centre: str
 
 
-class WorkerNews(Message, frozen=True, tag="W"):
+class WorkerReport(Message, frozen=True, tag="W"):
     """The worker's life; an empty ``id`` says that there is none.
 
     ``runs`` are those of this owner that are there now; any other one is over. ``number`` counts
@@ -234,7 +234,7 @@
     number: int = 0
 
 
-class RoomNews(Message, frozen=True, tag="R"):
+class CapacityReport(Message, frozen=True, tag="R"):
     """What is free, having seen this owner's start ``seen``; as in ``RoomReport``."""
 
     seen: int
@@ -245,17 +245,17 @@
     pace: float = 0.0
 
 
-class ComingRow(Message, frozen=True):
+class CapacityReleaseRow(Message, frozen=True):
     """Room that comes free, as in :class:`dalemast.core.scheduling.ComingRoom`."""
 
     in_s: float
     cpu: int
 
 
-class RoomComing(Message, frozen=True, tag="C"):
+class CapacityReleases(Message, frozen=True, tag="C"):
     """When room comes free on the worker, soonest first; it replaces what was told before."""
 
-    rows: tuple[ComingRow, ...]
+    rows: tuple[CapacityReleaseRow, ...]
 
 
 class WorkerPace(Message, frozen=True, tag="V"):
@@ -271,7 +271,7 @@
     in_s: float
 
 
-class RunCutShort(Message, frozen=True, tag="X"):
+class RunDepartureRisk(Message, frozen=True, tag="X"):
     """A run that can't end in time, as in :class:`dalemast.core.scheduling.CutShort`."""
 
     run: RunRow
@@ -289,7 +289,7 @@
     has_begun: bool = True
 
 
-class Crashed(Message, frozen=True, tag="Z"):
+class WorkerCrashed(Message, frozen=True, tag="Z"):
     """A life of a worker that has crashed, and all that ran there, whoever owned it.
 
     An agent tells all entries, also those that it meets later: a task's next owner has to know. An
@@ -327,27 +327,27 @@
     jobs: tuple[str, ...]
 
 
-class ConfigurationNews(Message, frozen=True, tag="c"):
+class ConfigurationUpdate(Message, frozen=True, tag="c"):
     """A configuration, for an entry that asked for it."""
 
     version: int
     queues: tuple[Queue, ...]
 
 
-class VersionNews(Message, frozen=True, tag="v"):
+class VersionAnnouncement(Message, frozen=True, tag="v"):
     """The version of the configuration in force at the sender, and its size as a message."""
 
     version: int
     size_bytes: int
 
 
-class ConfigurationAsk(Message, frozen=True, tag="a"):
+class ConfigurationRequest(Message, frozen=True, tag="a"):
     """The sender lacks this version."""
 
     version: int
 
 
-class ConfigurationLater(Message, frozen=True, tag="l"):
+class ConfigurationDeferred(Message, frozen=True, tag="l"):
     """The sender has this version and is giving it to others first."""
 
     version: int
@@ -362,7 +362,7 @@
     core_s: float
 
 
-class DemandNews(Message, frozen=True, tag="d"):
+class DemandReport(Message, frozen=True, tag="d"):
     """All that waits at the sender; it replaces what was told before, and no rows is nothing."""
 
     rows: tuple[DemandRow, ...]
@@ -375,7 +375,7 @@
     job: str
 
 
-class ClaimAnswer(Message, frozen=True, tag="!"):
+class ClaimResponse(Message, frozen=True, tag="!"):
     """``is_granted``, or who has it and in how long it lapses (negative: unknown)."""
 
     number: int
@@ -396,7 +396,7 @@
     job: str
 
 
-class EntriesAsk(Message, frozen=True, tag="n"):
+class ReachableEntriesRequest(Message, frozen=True, tag="n"):
     """Ask an agent which entries it has links with, now and at each change from then on.
 
     ``suspects`` are incarnations that the asker has lost: the agent finds out whether it still
@@ -407,7 +407,7 @@
     suspects: tuple[str, ...]
 
 
-class EntriesHeard(Message, frozen=True, tag="N"):
+class ReachableEntries(Message, frozen=True, tag="N"):
     """The incarnations that an agent has links with. ``number`` is the last question's.
 
     ``left_jobs`` are the jobs of which something still runs there for an owner that it has lost, or
@@ -442,56 +442,58 @@
 
 
 EntryMessage = (
-    Said
-    | ClockAnswer
+    SentAt
+    | ClockResponse
     | EntryHello
-    | EvacuationNews
-    | MemberNews
+    | EvacuationUpdate
+    | MemberUpdate
     | Reconciled
     | Starts
     | Stop
-    | Wants
-    | EntriesAsk
+    | CapacityRequestUpdate
+    | ReachableEntriesRequest
     | Relayed
     | RouteEnded
-    | Beat
-    | Bye
+    | LinkHeartbeat
+    | Goodbye
 )
 """What an agent hears."""
 AgentMessage = (
-    ClockAsk
+    ClockRequest
     | AgentHello
-    | WorkerNews
-    | RoomNews
-    | RoomComing
+    | WorkerReport
+    | CapacityReport
+    | CapacityReleases
     | WorkerPace
     | WorkerLeaving
-    | RunCutShort
-    | Crashed
+    | RunDepartureRisk
+    | WorkerCrashed
     | RunEnded
     | RunSlow
-    | EntriesHeard
+    | ReachableEntries
     | Relayed
     | RouteEnded
-    | Beat
-    | Bye
+    | LinkHeartbeat
+    | Goodbye
 )
 """What an entry hears from an agent."""
-ConfigurationMessage = VersionNews | ConfigurationAsk | ConfigurationLater | ConfigurationNews
+ConfigurationMessage = (
+    VersionAnnouncement | ConfigurationRequest | ConfigurationDeferred | ConfigurationUpdate
+)
 """What entries tell one another of configurations."""
 PeerMessage = (
     PeerHello
-    | EvacuationNews
-    | MemberNews
+    | EvacuationUpdate
+    | MemberUpdate
     | ConfigurationMessage
     | Claim
-    | ClaimAnswer
+    | ClaimResponse
     | Release
     | Yield
-    | DemandNews
-    | Crashed
-    | Beat
-    | Bye
+    | DemandReport
+    | WorkerCrashed
+    | LinkHeartbeat
+    | Goodbye
 )
 """What an entry hears from another."""
 
--- a/dalemast/fleet/links/base.py
+++ b/dalemast/fleet/links/base.py
@@ -105,7 +105,7 @@
         self.heard_at = clock.monotonic()
         return decode_frame(data, self._message_type)
 
-    def forgive(self, late_s: float) -> None:
+    def reset_liveness(self, late_s: float) -> None:
         """Count the peer's silence as shorter, by a time in which this process did not listen."""
         self.heard_at = min(self.heard_at + late_s, clock.monotonic())
 
--- a/dalemast/fleet/process.py
+++ b/dalemast/fleet/process.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from dalemast import clock
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.backends import load_backend
 from dalemast.fleet.base import BaseMemberStore
-from dalemast.fleet.book import AddressBook
 from dalemast.fleet.operators import MetricsListener
 from dalemast.fleet.pauses import PauseWatch
 from dalemast.fleet.timing import FleetTimes
@@ -18,7 +18,7 @@
 from dalemast.process import BaseProcess
 from dalemast.settings import FleetSettings
 
-__all__ = ["STANDSTILLS", "TICK_S", "BaseFleetProcess"]
+__all__ = ["PROCESS_PAUSES", "TICK_S", "BaseFleetProcess"]
 
 TICK_S = 0.05
 """The grain of time-outs; the shortest, a beat, is 0.12 s."""
@@ -33,7 +33,7 @@
 END_MARGIN_S = 0.4
 """How long before it would be killed a stopping process ceases to wait for what is under way. Then
 it answers what is left and closes its links, which takes some milliseconds on an idle host."""
-STANDSTILLS = "process.stood-still"
+PROCESS_PAUSES = "process.stood-still"
 """Counter of the times that this process did not run for so long that it gave up what had begun."""
 
 
@@ -88,7 +88,7 @@
         """Give up what may be out of date after this process stood still."""
 
     @abc.abstractmethod
-    def _forgive_silence(self, late_s: float) -> None:
+    def _reset_liveness_timers(self, late_s: float) -> None:
         """Take the time that this process was late itself off the silence of all links."""
 
     @abc.abstractmethod
@@ -118,7 +118,7 @@
         if not paused_s:
             return False
         log_event("process:stood-still", seconds=round(paused_s, 3))
-        self._metrics.count(STANDSTILLS)
+        self._metrics.count(PROCESS_PAUSES)
         self._recover_from_pause()
         return True
 
@@ -129,5 +129,5 @@
             await asyncio.sleep(pause_s)
             late_s = clock.monotonic() - due_at
             if late_s > LATE_TICK_S:
-                self._forgive_silence(late_s)
+                self._reset_liveness_timers(late_s)
             self._tick()
--- a/dalemast/platform/registration.py
+++ b/dalemast/platform/registration.py
@@ -123,14 +123,14 @@
             return
         if self._lines.is_replaced(life.id):
             # What was said under this id before was another writer's, a goodbye among it.
-            self._observer.restore_life(life.id)
-        self._observer.meet_life(life)
+            self._observer.restore_incarnation(life.id)
+        self._observer.register_incarnation(life)
 
     def take_end(self, worker_id: str) -> None:
         """Pass on that a worker ends which has said that it leaves; or :class:`ForeignInput`."""
         life_id = self._lines.find_leaving(worker_id)
         self._lines.note_end(life_id)
-        self._observer.lose_life(life_id)
+        self._observer.lose_incarnation(life_id)
 
     def note_foreign(self, life_id: str, refusal: ForeignInput, *, sender: str) -> None:
         """Count and log what was not taken. ``sender`` is the IP number that it came from."""
--- a/dalemast/platform/rows.py
+++ b/dalemast/platform/rows.py
@@ -13,8 +13,8 @@
 
 from dalemast.core.evacuations import EvacuationChanges
 from dalemast.core.workloads import Queue
+from dalemast.fleet.address_book import find_fault
 from dalemast.fleet.base import Configuration, Member
-from dalemast.fleet.book import find_fault
 from dalemast.observability import Metrics, RefusalLog
 from dalemast.platform.foreign import Fault, ForeignInput, read_json, read_value
 from dalemast.platform.wire import (
--- a/dalemast/platform/store.py
+++ b/dalemast/platform/store.py
@@ -92,9 +92,9 @@
         """Report what operators declare as it is accepted."""
 
         def take(news: TableNews) -> None:
-            observer.take_evacuations(self._reader.read_evacuations(news))
+            observer.handle_evacuations(self._reader.read_evacuations(news))
             for configuration in self._reader.read_configurations(news):
-                observer.take_configuration(configuration)
+                observer.handle_configuration(configuration)
 
         await self._watch(OPERATORS_TABLE, DECLARATIONS_WAIT_S, take)
 
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -22,7 +22,13 @@
     WorkerLife,
 )
 from dalemast.core.workloads import TaskKey
-from dalemast.fleet.base import BaseWorkerDriver, Look, WorkerGone, WorkerReplaced, WorkerUnanswered
+from dalemast.fleet.base import (
+    BaseWorkerDriver,
+    PollResult,
+    WorkerGone,
+    WorkerReplaced,
+    WorkerUnanswered,
+)
 from dalemast.fleet.timing import WORKER_CLOCK_ERROR, WORKER_CLOCK_STRETCH
 from dalemast.http.direct import DirectClient, Greeting
 from dalemast.http.messages import HttpFailure, JsonResponse
@@ -106,7 +112,7 @@
         """When everything on the worker has surely lapsed, by what was sent so far."""
         return self._lease.ends_at + self._lease_s * (WORKER_CLOCK_STRETCH - 1.0)
 
-    def meet(self, life: WorkerLife) -> None:
+    def register(self, life: WorkerLife) -> None:
         """Address all further calls to this life."""
         worker_id, _ = read_life_id(life.id)
         if self._life_id:
@@ -182,7 +188,7 @@
         self._was_stop_unanswered = False
         return response.status == 200
 
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def poll(self, plan: LookPlan, *, limit: float) -> PollResult:
         """Ask what runs and what ended."""
         asked_at = clock.monotonic()
         headers = self._headers
@@ -274,7 +280,7 @@
             self._raise_fence()
         return REJECTIONS.get(answer.reason, StartOutcome.REJECTED)
 
-    def _read_look(self, response: JsonResponse, asked_at: float) -> Look:
+    def _read_look(self, response: JsonResponse, asked_at: float) -> PollResult:
         answer = response.decode(HoldAnswer)
         _, born_ms = read_life_id(self._life_id)
         if answer.born != born_ms:
@@ -287,7 +293,7 @@
             ListedRun(run_id=_read_run(row[0], row[1]), percent=float(row[3]))
             for row in answer.running
         )
-        return Look(running=running, ended=ended, asked_at=asked_at)
+        return PollResult(running=running, ended=ended, asked_at=asked_at)
 
     def _follow_clock(self, clock_ms: float | None) -> None:
         if clock_ms is not None:
--- a/tests/fleet/base.py
+++ b/tests/fleet/base.py
@@ -13,7 +13,7 @@
 from dalemast.emulator import EmulatedStore, EmulatedWorker
 from dalemast.fleet.agent import FleetAgentProcess
 from dalemast.fleet.entry import FleetEntryProcess
-from dalemast.fleet.process import STANDSTILLS
+from dalemast.fleet.process import PROCESS_PAUSES
 from dalemast.http.client import HttpFailure, JsonClient, JsonResponse
 from dalemast.platform.wire import DEADLINE_HEADER
 from dalemast.settings import (
@@ -220,7 +220,7 @@
 
     def _count_standstills(self) -> int:
         processes = [*self.entries, *self.agents]
-        return sum(process._metrics.get_count(STANDSTILLS) for process in processes)
+        return sum(process._metrics.get_count(PROCESS_PAUSES) for process in processes)
 
     async def call(
         self,
--- a/tests/fleet/test_book.py
+++ b/tests/fleet/test_address_book.py
@@ -4,8 +4,8 @@
 
 import testtools
 
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook
 
 
 def make_member(incarnation: str, address: str = "10.0.0.1:80") -> Member:
--- a/tests/fleet/test_bounds.py
+++ b/tests/fleet/test_bounds.py
@@ -24,8 +24,8 @@
 from dalemast import clock
 from dalemast.emulator import EmulatedWorker
 from dalemast.emulator.runs import Order
+from dalemast.fleet.address_book import to_row
 from dalemast.fleet.agent.owner_sessions import OwnerSession
-from dalemast.fleet.book import to_row
 from dalemast.fleet.frames import EntryHello
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import HOST, PREFIX, LocalFleet, make_body, make_text, settle
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -13,7 +13,7 @@
 from dalemast.core.ownership import Granted, Held, choose_home
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.claims import DOUBT_S, SETTLE_S, JobClaims
-from dalemast.fleet.frames import Claim, ClaimAnswer, Release, Yield
+from dalemast.fleet.frames import Claim, ClaimResponse, Release, Yield
 from dalemast.fleet.timing import FleetTimes
 from tests.base import AsyncTestCase
 
@@ -163,7 +163,7 @@
         match message:
             case Claim():
                 self.claims.answer(peer, message)
-            case ClaimAnswer():
+            case ClaimResponse():
                 self.claims.take_answer(message)
             case Release():
                 self.claims.take_release(peer, message)
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from dalemast.fleet.frames import ConfigurationNews
+from dalemast.fleet.frames import ConfigurationUpdate
 from dalemast.settings import AddressSettings
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, find_address, make_configuration, settle
@@ -105,7 +105,7 @@
 
     def take_and_note(session: Any, message: Any) -> None:
         current = entry._configuration.current
-        if isinstance(message, ConfigurationNews) and message.version <= current.version:
+        if isinstance(message, ConfigurationUpdate) and message.version <= current.version:
             copies.append(message.version)
         take(session, message)
 
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -10,7 +10,7 @@
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.crashes import MAX_CRASHES, CrashMemory, make_crashed, read_crashed
 from dalemast.fleet.entry.agents import AgentLinks
-from dalemast.fleet.frames import AgentMessage, Crashed, PeerMessage, decode_frame
+from dalemast.fleet.frames import AgentMessage, PeerMessage, WorkerCrashed, decode_frame
 from tests.base import AsyncTestCase
 from tests.fleet.base import LocalFleet, make_text
 
@@ -45,7 +45,7 @@
 
 
 class CrashMemoryTests(unittest.TestCase):
-    def make(self, life: str, *, is_seen: bool = True) -> Crashed:
+    def make(self, life: str, *, is_seen: bool = True) -> WorkerCrashed:
         row = CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.0312)
         return make_crashed(life, [row], is_seen=is_seen)
 
--- a/tests/fleet/test_demand.py
+++ b/tests/fleet/test_demand.py
@@ -12,7 +12,7 @@
 from dalemast.core.scheduling.demand import MOST_ROWS
 from dalemast.fleet.entry import FleetEntryProcess
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.frames import DemandNews, DemandRow
+from dalemast.fleet.frames import DemandReport, DemandRow
 from dalemast.settings.fleet import LoadSettings
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import SERVICE, LocalFleet, make_text, settle
@@ -176,11 +176,11 @@
                 accepted = first._peers._accepted[second._member.incarnation]
                 row = DemandRow(service=SERVICE, priority=0, jobs=1, core_s=5.0)
                 overtaken = PeerSession(link=accepted.link, links=first._peers, is_dialled=False)
-                first._peers.take(overtaken, DemandNews(rows=(row,)))
+                first._peers.take(overtaken, DemandReport(rows=(row,)))
                 overtaken.member = accepted.member
-                first._peers.take(overtaken, DemandNews(rows=(row,)))
+                first._peers.take(overtaken, DemandReport(rows=(row,)))
                 self.assertEqual(0.0, get_ahead(first))
-                first._peers.take(accepted, DemandNews(rows=(row,)))
+                first._peers.take(accepted, DemandReport(rows=(row,)))
                 self.assertEqual(5.0, get_ahead(first))
                 many = tuple(
                     DemandRow(service=f"s{number}", priority=0, jobs=1, core_s=1.0)
@@ -188,7 +188,7 @@
                 )
                 huge = DemandRow(service=SERVICE, priority=0, jobs=1, core_s=1e300)
                 for rows in (many, (huge,), (row, row)):
-                    first._peers.take(accepted, DemandNews(rows=rows))
+                    first._peers.take(accepted, DemandReport(rows=rows))
                     self.assertEqual(0.0, get_ahead(first))
                 self.assertEqual(3, first._metrics.get_count("demand.absurd"))
 
--- a/tests/fleet/test_dialling.py
+++ b/tests/fleet/test_dialling.py
@@ -6,9 +6,9 @@
 from unittest import mock
 
 from dalemast.core.ownership import KnownEntry, LinkBounds, choose_owners
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.agent.dialling import OwnerDialling
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook
 from tests.base import AsyncTestCase
 
 BOUNDS = LinkBounds(near=3, far=2)
--- a/tests/fleet/test_evacuations.py
+++ b/tests/fleet/test_evacuations.py
@@ -10,7 +10,7 @@
 
 from dalemast.core.evacuations import Evacuations
 from dalemast.fleet.entry import FleetEntryProcess
-from dalemast.fleet.frames import AgentHello, EvacuationNews, MemberRow, PeerHello
+from dalemast.fleet.frames import AgentHello, EvacuationUpdate, MemberRow, PeerHello
 from dalemast.settings import AddressSettings
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, find_address, make_configuration, make_text, settle
@@ -159,7 +159,7 @@
                 agent.receive([hello])
                 row = MemberRow(name="e9", incarnation="i", address="a:1", data_centre="waco")
                 peer.receive([PeerHello(member=row, jobs=())])
-                told = [news for news in sent if isinstance(news, EvacuationNews)]
+                told = [news for news in sent if isinstance(news, EvacuationUpdate)]
                 self.assertEqual([("waco",)] * 2, [news.data_centres for news in told])
                 agent.close()
                 peer.close()
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -8,7 +8,7 @@
 
 from picows import WSFrame, WSListener, WSMsgType, WSTransport, ws_connect
 
-from dalemast.fleet.frames import Beat, PeerMessage
+from dalemast.fleet.frames import LinkHeartbeat, PeerMessage
 from dalemast.fleet.links import Dialer, Link, LinkListener, LinkRoute
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import find_address
@@ -26,7 +26,9 @@
 
     def receive(self, messages: list[Any]) -> None:
         self.messages += messages
-        if any(isinstance(message, Beat) and not message.hears_other for message in messages):
+        if any(
+            isinstance(message, LinkHeartbeat) and not message.hears_other for message in messages
+        ):
             raise RuntimeError("a fault of the receiver's")
 
     def close(self) -> None:
@@ -98,7 +100,7 @@
             )
             await wait_until(lambda: bool(dialled and accepted), "the link")
             for _ in range(3):
-                dialled[0].link.send(Beat())
+                dialled[0].link.send(LinkHeartbeat())
             await wait_until(lambda: len(accepted[0].messages) == 3, "the messages")
             accepted[0].link.reset()
             await wait_until(lambda: len(dialled) == 2, "a new link")
--- a/tests/fleet/test_looks.py
+++ b/tests/fleet/test_looks.py
@@ -16,7 +16,7 @@
 from dalemast.core.supervision.looks import LONGEST_LOOK_PAUSE_S, LOOK_WAIT_S
 from dalemast.core.workloads import Resources, TaskKey
 from dalemast.fleet.agent.worker import WorkerLoop
-from dalemast.fleet.base import Look, WorkerUnanswered
+from dalemast.fleet.base import PollResult, WorkerUnanswered
 from dalemast.observability import Metrics
 from tests.base import AsyncTestCase
 
@@ -34,17 +34,17 @@
         """Of each look, how long it may wait and whether it renews the lease."""
         self._served = served
 
-    def meet(self, life: WorkerLife) -> None:
+    def register(self, life: WorkerLife) -> None:
         """Nothing to note."""
 
-    async def look(self, plan: LookPlan, *, limit: float) -> Look:
+    async def poll(self, plan: LookPlan, *, limit: float) -> PollResult:
         """Fail without any wait."""
         self.looks += 1
         self.asked.append((plan.wait_s, plan.renews))
         if self.looks > LOOKS:
             raise asyncio.CancelledError
         if self.looks in self._served:
-            return Look(running=(), ended=(), asked_at=0.0)
+            return PollResult(running=(), ended=(), asked_at=0.0)
         raise WorkerUnanswered("reset")
 
 
--- a/tests/fleet/test_over_by_now.py
+++ b/tests/fleet/test_over_by_now.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from dalemast.core.scheduling import EndReason
-from dalemast.fleet.frames import Reconciled, RunEnded, Said
+from dalemast.fleet.frames import Reconciled, RunEnded, SentAt
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, make_text, settle
 from tests.fleet.test_bounds import Overlaps
@@ -27,7 +27,7 @@
                 await wait_until(lambda: bool(fleet.get_running(job_id)), "it to run")
                 worker = next(w for w in fleet.workers if w.active_tasks)
                 agent = fleet.agents[fleet.workers.index(worker)]
-                agent._worker.lose_life(worker.life_id)
+                agent._worker.lose_incarnation(worker.life_id)
                 self.assertEqual(200, (await job).status)
                 self.assertEqual([], overlaps.found)
 
@@ -50,7 +50,7 @@
                     worker.start()
                     await wait_until(lambda: _has_settled(agent, first), "the next life")
                     await settle()
-                    said = Said(at_ms=session._said_ms + 10_000)
+                    said = SentAt(at_ms=session._said_ms + 10_000)
                     self.assertFalse(session.is_reconciled)
                     session.receive([said, Reconciled(number=news), make_starts(JOB.format(2))])
                     await settle()
--- a/tests/fleet/test_preemption.py
+++ b/tests/fleet/test_preemption.py
@@ -13,7 +13,7 @@
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
-from dalemast.fleet.frames import RoomNews
+from dalemast.fleet.frames import CapacityReport
 from dalemast.http.client import JsonResponse
 from dalemast.observability import Metrics
 from dalemast.settings.fleet import LoadSettings
@@ -50,7 +50,7 @@
             reports.note_change(now=NOW + 0.01 * number)
         for session in sessions.values():
             sent = [call.args[0] for call in session.link.send.call_args_list]  # type: ignore[attr-defined]
-            self.assertEqual(2, sum(isinstance(message, RoomNews) for message in sent))
+            self.assertEqual(2, sum(isinstance(message, CapacityReport) for message in sent))
 
 
 class PreemptionTests(AsyncTestCase):
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -15,11 +15,11 @@
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.entry.routes import DIAL_FIRST_S, PeerRoutes
 from dalemast.fleet.frames import (
-    Beat,
-    ClockAsk,
-    EntriesAsk,
-    EntriesHeard,
+    ClockRequest,
+    LinkHeartbeat,
     PeerMessage,
+    ReachableEntries,
+    ReachableEntriesRequest,
     Relayed,
     RouteEnded,
     decode_frame,
@@ -29,7 +29,7 @@
 from tests.fleet.base import LocalFleet
 
 OWN, PEER, OTHER = "life-own", "life-peer", "life-other"
-FRAME = msgspec.json.encode([Beat()]).decode()
+FRAME = msgspec.json.encode([LinkHeartbeat()]).decode()
 
 
 class FakeLink:
@@ -87,21 +87,23 @@
 
     def test_an_entry_that_asks_is_told_now_and_at_each_change(self) -> None:
         relay = self.make_relay(OWN, PEER)
-        relay.take_ask(self.sessions[OWN], EntriesAsk(number=3, suspects=()))
-        self.assertEqual([EntriesHeard(number=3, entries=(PEER,))], self.take(OWN))
+        relay.take_ask(self.sessions[OWN], ReachableEntriesRequest(number=3, suspects=()))
+        self.assertEqual([ReachableEntries(number=3, entries=(PEER,))], self.take(OWN))
         relay.tell_changes()
         self.take(OWN)
         relay.tell_changes()
         self.assertEqual([], self.take(OWN))
         del self.sessions[PEER]
         relay.tell_changes()
-        self.assertEqual([EntriesHeard(number=3, entries=())], self.take(OWN))
+        self.assertEqual([ReachableEntries(number=3, entries=())], self.take(OWN))
 
     def test_a_suspect_is_asked_for_a_sign_of_life(self) -> None:
         relay = self.make_relay(OWN, PEER)
-        relay.take_ask(self.sessions[OWN], EntriesAsk(number=1, suspects=(PEER, OTHER)))
+        relay.take_ask(
+            self.sessions[OWN], ReachableEntriesRequest(number=1, suspects=(PEER, OTHER))
+        )
         (asked,) = self.take(PEER)
-        self.assertIsInstance(asked, ClockAsk)
+        self.assertIsInstance(asked, ClockRequest)
         suspect, now = self.sessions[PEER], clock.monotonic()
         self.assertFalse(suspect.has_missed_probe(now=now))
         self.assertTrue(suspect.has_missed_probe(now=now + PROBE_PATIENCE_S + 0.01))
@@ -111,10 +113,10 @@
     def test_a_probe_does_not_count_while_the_agent_did_not_listen(self) -> None:
         relay = self.make_relay(OWN, PEER)
         suspect, now = self.sessions[PEER], clock.monotonic()
-        suspect.link.forgive = lambda late_s: None  # type: ignore[method-assign]
-        relay.take_ask(self.sessions[OWN], EntriesAsk(number=1, suspects=(PEER,)))
+        suspect.link.reset_liveness = lambda late_s: None  # type: ignore[method-assign]
+        relay.take_ask(self.sessions[OWN], ReachableEntriesRequest(number=1, suspects=(PEER,)))
         with mock.patch("dalemast.clock.monotonic", return_value=now + 1.0):
-            suspect.forgive(1.0)
+            suspect.reset_liveness(1.0)
         self.assertFalse(suspect.has_missed_probe(now=now + 1.0))
 
     def test_frames_and_ends_go_to_their_receiver(self) -> None:
@@ -147,7 +149,7 @@
     def open_relayed(self, link: RelayedLink, *, is_dialled: bool) -> PeerSession:
         session = PeerSession(link=link, links=self.keeper, is_dialled=is_dialled, is_relayed=True)
         self.opened.append(session)
-        link.send(Beat())
+        link.send(LinkHeartbeat())
         link.flush()
         return session
 
@@ -170,7 +172,7 @@
 
     def hear(self, routes: PeerRoutes, number: int, *entries: str) -> list[Any]:
         """Let the agent tell whom it hears; return what it is sent then."""
-        routes.take_heard(self.agent, EntriesHeard(number=number, entries=entries))
+        routes.take_heard(self.agent, ReachableEntries(number=number, entries=entries))
         return self.agent.link.take()
 
     def play(self, scenario: Any) -> None:
@@ -202,7 +204,7 @@
             second = mock.Mock(link=FakeLink())
             routes.add_agent(second)
             for agent in (self.agent, second):
-                routes.take_heard(agent, EntriesHeard(number=0, entries=()))
+                routes.take_heard(agent, ReachableEntries(number=0, entries=()))
             routes.suspect(PEER)
             self.hear(routes, 1)
             self.assertTrue(routes.awaits(second))
@@ -231,7 +233,9 @@
             self.assertTrue(routes.is_searching)
             routes.tick(clock.monotonic() + DIAL_FIRST_S + 0.01)
             sent = self.agent.link.take()
-            self.assertEqual([EntriesAsk, Relayed], [type(message) for message in sent])
+            self.assertEqual(
+                [ReachableEntriesRequest, Relayed], [type(message) for message in sent]
+            )
             self.assertEqual((PEER,), sent[0].suspects)
 
         self.play(scenario)
@@ -246,7 +250,7 @@
             routes.take_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             (session,) = self.receiver.opened
             self.assertFalse(session.is_dialled)
-            self.receiver.keeper.take.assert_called_once_with(session, Beat())
+            self.receiver.keeper.take.assert_called_once_with(session, LinkHeartbeat())
 
         self.play(scenario)
 
@@ -298,11 +302,14 @@
             link = RelayedLink(
                 message_type=PeerMessage, pass_on=frames.append, end_route=lambda: None
             )
-            link.send(Beat())
-            link.send(Beat(hears_other=False))
+            link.send(LinkHeartbeat())
+            link.send(LinkHeartbeat(hears_other=False))
             link.flush()
             (frame,) = frames
-            self.assertEqual([Beat(), Beat(hears_other=False)], decode_frame(frame, PeerMessage))
+            self.assertEqual(
+                [LinkHeartbeat(), LinkHeartbeat(hears_other=False)],
+                decode_frame(frame, PeerMessage),
+            )
 
         self.run_async(run())
 
@@ -338,10 +345,10 @@
                     version = fleet.entries[0]._configuration.current.version
                     peers._news.give(session, mock.Mock(version=version))
                 kinds = [type(message).__name__ for message in relayed.link.sent]
-                self.assertNotIn("VersionNews", kinds)
+                self.assertNotIn("VersionAnnouncement", kinds)
                 self.assertNotIn("Raw", kinds)
                 kinds = [type(message).__name__ for message in direct.link.sent]
-                self.assertIn("VersionNews", kinds)
+                self.assertIn("VersionAnnouncement", kinds)
                 self.assertIn("Raw", kinds)
 
         self.run_async(run())
--- a/tests/fleet/test_said.py
+++ b/tests/fleet/test_said.py
@@ -17,11 +17,11 @@
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.frames import (
-    ClockAnswer,
-    ClockAsk,
+    ClockRequest,
+    ClockResponse,
     Reconciled,
     RunEnded,
-    Said,
+    SentAt,
     StartRow,
     Starts,
 )
@@ -44,14 +44,14 @@
         """Ask for the entry's clock; the question takes this long to arrive."""
         self.session.ask_clock()
         (asked,) = self.link.send.call_args.args
-        self.assertIsInstance(asked, ClockAsk)
+        self.assertIsInstance(asked, ClockRequest)
         heard_at_ms = asked.sent_at_ms + round((way_s + ENTRY_AHEAD_S) * 1000)
-        self.session.take_clock(ClockAnswer(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        self.session.take_clock(ClockResponse(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
 
     def say(self, *, ago_s: float) -> float:
         """Take in a frame that was said a while ago; return the age that it is given."""
         now = clock.monotonic()
-        self.session.note_said(Said(at_ms=int((now - ago_s + ENTRY_AHEAD_S) * 1000)))
+        self.session.note_said(SentAt(at_ms=int((now - ago_s + ENTRY_AHEAD_S) * 1000)))
         return now - self.session.said_at
 
     def test_before_the_entrys_clock_is_known_nothing_counts(self) -> None:
@@ -92,7 +92,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (session,) = owners._sessions.values()
-                late = Said(at_ms=session._said_ms - 60_000)
+                late = SentAt(at_ms=session._said_ms - 60_000)
                 with mock.patch.object(session.link, "send") as send:
                     session.receive([late, make_starts(JOB.format(1))])
                 ends = [c.args[0] for c in send.call_args_list if isinstance(c.args[0], RunEnded)]
@@ -109,7 +109,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (session,) = owners._sessions.values()
-                session.receive([Said(at_ms=session._said_ms + 60_000)])
+                session.receive([SentAt(at_ms=session._said_ms + 60_000)])
                 self.assertFalse(session.link.is_open)
                 await wait_until(lambda: len(owners) == 1, "a link to be open again")
 
@@ -120,11 +120,11 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent = fleet.agents[0]
                 (session,) = agent._owners._sessions.values()
-                session.receive([Said(at_ms=session._said_ms), make_starts(JOB.format(2))])
+                session.receive([SentAt(at_ms=session._said_ms), make_starts(JOB.format(2))])
                 await wait_until(lambda: bool(fleet.get_running(JOB.format(2))), "it to run")
                 known = agent._supervisor.runs[RunId(JOB.format(2), TaskKey(0, 0), 1)]
                 while known.stopping_since is None:
-                    late = Said(at_ms=session._said_ms - 600)
+                    late = SentAt(at_ms=session._said_ms - 600)
                     agent._owners.receive(session, [late])
                     await asyncio.sleep(0.05)
 
--- a/tests/fleet/test_speeds.py
+++ b/tests/fleet/test_speeds.py
@@ -11,7 +11,7 @@
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
-from dalemast.fleet.frames import WorkerNews, WorkerPace
+from dalemast.fleet.frames import WorkerPace, WorkerReport
 from dalemast.observability import Metrics
 from dalemast.settings.fleet import LoadSettings
 from tests.base import AsyncTestCase, wait_until
@@ -86,7 +86,7 @@
         owner = self.add_owner("new")
         reports.greet(owner, now=NOW + 1.0)
         first, second = [call.args[0] for call in owner.link.send.call_args_list[:2]]  # type: ignore[attr-defined]
-        self.assertIsInstance(first, WorkerNews)
+        self.assertIsInstance(first, WorkerReport)
         self.assertEqual(WorkerPace(slowness=1.67, runs=96), second)
 
     def test_a_new_life_has_no_speed_yet(self) -> None:
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -12,7 +12,7 @@
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
-from dalemast.fleet.frames import RoomNews
+from dalemast.fleet.frames import CapacityReport
 from dalemast.observability import Metrics
 
 NOW = 10.0
@@ -52,7 +52,7 @@
         self.sessions[name] = session
 
     def note(self, name: str, message: object) -> None:
-        if isinstance(message, RoomNews):
+        if isinstance(message, CapacityReport):
             self.told.append(name)
 
     def play(self, *, shares_demand: bool) -> list[list[str]]:
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -9,7 +9,7 @@
 
 from dalemast import clock
 from dalemast.core.workloads import TaskKey
-from dalemast.fleet.frames import Reconciled, RunRow, Said, Starts, Stop, WorkerNews
+from dalemast.fleet.frames import Reconciled, RunRow, SentAt, Starts, Stop, WorkerReport
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, make_text
 
@@ -27,7 +27,7 @@
                 entry = fleet.entries[0]
                 time.sleep(ASIDE_S)
                 said = entry._agents._make_said()
-                self.assertIsInstance(said, Said)
+                self.assertIsInstance(said, SentAt)
                 self.assertEqual(int(entry._pauses.checked_at * 1000), said.at_ms)
                 self.assertLessEqual(said.at_ms, (clock.monotonic() - ASIDE_S) * 1000)
 
@@ -59,7 +59,7 @@
 class OrderTests(AsyncTestCase):
     """Between the stops and the starts an entry says that it has compared an agent's runs.
 
-    Said before the stops, it would keep alive what it stops; said after the starts, they would be
+    SentAt before the stops, it would keep alive what it stops; said after the starts, they would be
     refused.
     """
 
@@ -70,7 +70,7 @@
                 (session,) = agents._sessions.values()
                 news = make_news(session.worker, JOB.format(1))
                 sent: list[Any] = []
-                agents.take(session, WorkerNews("", "", 0, 0, 0, ()))
+                agents.take(session, WorkerReport("", "", 0, 0, 0, ()))
                 job = asyncio.ensure_future(fleet.submit(JOB.format(2), text=make_text(0.1)))
                 waiting = fleet.entries[0]._scheduler.open_jobs
                 await wait_until(lambda: bool(waiting), "the job to wait")
@@ -85,11 +85,11 @@
         self.run_async(run())
 
 
-def make_news(worker: str, job_id: str) -> WorkerNews:
+def make_news(worker: str, job_id: str) -> WorkerReport:
     """Return the news of a worker on which a run goes on that the entry does not know."""
     key = TaskKey(0, 0)
     run = RunRow(job=job_id, step=key.step, position=key.position, run=1)
-    return WorkerNews(
+    return WorkerReport(
         id=worker,
         service="floor",
         cpu=4000,
--- a/tests/histories/backends.py
+++ b/tests/histories/backends.py
@@ -52,7 +52,7 @@
 
     async def watch_declarations(self, observer: DeclarationObserver) -> None:
         """Report the configuration."""
-        observer.take_configuration(Configuration(version=1, queues=QUEUES))
+        observer.handle_configuration(Configuration(version=1, queues=QUEUES))
         await asyncio.get_running_loop().create_future()
 
     async def watch_members(self, callback: Callable[[Member], None]) -> None:
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -274,7 +274,9 @@
 
     def _report_once(self, worker: ModelWorker) -> None:
         agent, life = worker.name.replace("worker", "agent"), worker.life
-        self._hosts[agent].take(lambda: ModelRegistration.observers[agent].meet_life(life))
+        self._hosts[agent].take(
+            lambda: ModelRegistration.observers[agent].register_incarnation(life)
+        )
 
     def _begin(self, name: str) -> None:
         """Begin a life of a process."""
--- a/tests/platform/reports.py
+++ b/tests/platform/reports.py
@@ -33,15 +33,15 @@
         self.lost: list[str] = []
         self.restored: list[str] = []
 
-    def meet_life(self, life: WorkerLife) -> None:
+    def register_incarnation(self, life: WorkerLife) -> None:
         """Note an account."""
         self.lives.append(life)
 
-    def lose_life(self, life_id: str) -> None:
+    def lose_incarnation(self, life_id: str) -> None:
         """Note an end."""
         self.lost.append(life_id)
 
-    def restore_life(self, life_id: str) -> None:
+    def restore_incarnation(self, life_id: str) -> None:
         """Note that a life was another writer's to end."""
         self.restored.append(life_id)
 
--- a/tests/platform/test_foreign_rows.py
+++ b/tests/platform/test_foreign_rows.py
@@ -58,11 +58,11 @@
         self.configurations: list[Configuration] = []
         self.members: list[Member] = []
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in an answer."""
         self.evacuated = self._record.apply(changes).data_centres
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def handle_configuration(self, configuration: Configuration) -> None:
         """Take in a configuration."""
         self.configurations.append(configuration)
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -30,10 +30,10 @@
     def __init__(self) -> None:
         self.heard: list[Any] = []
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         self.heard.append(changes)
 
-    def take_configuration(self, configuration: Any) -> None:
+    def handle_configuration(self, configuration: Any) -> None:
         self.heard.append(configuration.version)
 
     def count_begun(self, data_centre: str) -> int:
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -65,7 +65,7 @@
             worker.start()
             settings = SimpleNamespace(worker=SimpleNamespace(address=worker.address))
             driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-            driver.meet(make_life(worker.life_id))
+            driver.register(make_life(worker.life_id))
             try:
                 await scenario(worker, driver)
             finally:
@@ -77,24 +77,24 @@
 class DriverTests(DriverTestCase):
     def test_a_run_is_listed_and_its_end_is_told_once(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             request = make_request(run_s=0.3)
             self.assertIs(StartOutcome.RUNNING, await driver.start(request, get_limit=always))
-            look = await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+            look = await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
             self.assertEqual([request.run_id], [row.run_id for row in look.running])
-            look = await driver.look(plan(wait_s=2.0, renews=True), limit=always())
+            look = await driver.poll(plan(wait_s=2.0, renews=True), limit=always())
             self.assertEqual(
                 [(request.run_id, EndReason.DONE)], [(e.run_id, e.reason) for e in look.ended]
             )
             self.assertEqual(
-                (), (await driver.look(plan(wait_s=0.0, renews=True), limit=always())).ended
+                (), (await driver.poll(plan(wait_s=0.0, renews=True), limit=always())).ended
             )
 
         self.play(scenario)
 
     def test_a_used_run_number_is_told(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             request = make_request()
             self.assertTrue(await driver.stop(request.run_id))
             self.assertIs(StartOutcome.RUN_USED, await driver.start(request, get_limit=always))
@@ -103,9 +103,9 @@
 
     def test_a_lease_that_is_not_renewed_ends_what_runs(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             await driver.start(make_request(run_s=30.0), get_limit=always)
-            look = await driver.look(plan(wait_s=1.9, renews=False), limit=always())
+            look = await driver.poll(plan(wait_s=1.9, renews=False), limit=always())
             self.assertEqual([EndReason.STOPPED], [end.reason for end in look.ended])
 
         self.play(scenario)
@@ -114,8 +114,8 @@
         """Renewed by starts, the lease of a worker that has fallen silent would go on."""
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
-            await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
             leased_until = driver.leased_until
             await driver.start(make_request(), get_limit=always)
             self.assertEqual(leased_until, driver.leased_until)
@@ -127,12 +127,12 @@
 
     def test_another_life_at_the_address_is_noticed(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            driver.meet(make_life("i-gone"))
+            driver.register(make_life("i-gone"))
             self.assertIs(
                 StartOutcome.WRONG_LIFE, await driver.start(make_request(), get_limit=always)
             )
             with self.assertRaises(WorkerReplaced):
-                await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
 
         self.play(scenario)
 
@@ -144,7 +144,7 @@
             )
             await worker.crash()
             with self.assertRaises(WorkerGone):
-                await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
 
         self.play(scenario)
 
@@ -155,11 +155,11 @@
                 lease_s=LEASE_S,
             )
             later._fence += 1000  # as after a step of the clock
-            later.meet(make_life(worker.life_id))
-            await later.look(plan(wait_s=0.0, renews=False), limit=always())
+            later.register(make_life(worker.life_id))
+            await later.poll(plan(wait_s=0.0, renews=False), limit=always())
             with self.assertRaises(WorkerUnanswered):
-                await driver.look(plan(wait_s=0.0, renews=False), limit=always())
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             self.assertIs(
                 StartOutcome.RUNNING, await driver.start(make_request(), get_limit=always)
             )
@@ -186,9 +186,9 @@
         """The owner is told that the run ended with its life and starts it elsewhere."""
         settings = SimpleNamespace(worker=SimpleNamespace(address="127.0.0.1:9"))
         driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-        client = SilentClient(then=lambda: driver.meet(make_life("second")))
+        client = SilentClient(then=lambda: driver.register(make_life("second")))
         driver._orders = client
-        driver.meet(make_life("first"))
+        driver.register(make_life("first"))
         outcome = self.run_async(driver.start(make_request(), get_limit=always))
         self.assertIs(StartOutcome.UNANSWERED, outcome)
         self.assertEqual({"first"}, set(client.lives))
@@ -211,7 +211,7 @@
             worker.start()
             settings = SimpleNamespace(worker=SimpleNamespace(address=worker.address))
             driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-            driver.meet(make_life(worker.life_id))
+            driver.register(make_life(worker.life_id))
             try:
                 await scenario(worker, driver)
             finally:
@@ -221,11 +221,11 @@
 
     async def end_runs(self, driver: PlatformWorkerDriver, count: int) -> None:
         """Let some runs end, and take note of their ends."""
-        await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+        await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
         for number in range(count):
             request = make_request(job_id=f"{number:016x}", run_s=0.01)
             self.assertIs(StartOutcome.RUNNING, await driver.start(request, get_limit=always))
-            while not (await driver.look(plan(wait_s=1.0, renews=True), limit=always())).ended:
+            while not (await driver.poll(plan(wait_s=1.0, renews=True), limit=always())).ended:
                 pass
 
     def test_a_look_finds_that_the_life_is_over(self) -> None:
@@ -236,8 +236,8 @@
             with self.assertRaises(WorkerReplaced):
                 # The kept connection has ended with the life; the one after it is greeted.
                 with contextlib.suppress(WorkerUnanswered):
-                    await driver.look(plan(wait_s=0.0, renews=True), limit=always())
-                await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+                    await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
 
         self.play(scenario)
 
@@ -259,19 +259,19 @@
             worker.start()
             for _ in range(2):
                 with contextlib.suppress(WorkerUnanswered, WorkerReplaced):
-                    await driver.look(plan(wait_s=0.0, renews=True), limit=always())
-            driver.meet(make_life(worker.life_id))
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+                    await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+            driver.register(make_life(worker.life_id))
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             await self.end_runs(driver, 3)
 
         self.play(scenario)
 
     def test_what_an_earlier_life_was_told_late_is_barred_once_the_next_has_answered(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             before = driver._fence
-            driver.meet(make_life(worker.life_id))
-            await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+            driver.register(make_life(worker.life_id))
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
             late = {"task": "00000000000000aa.0.0.0", "run": 1, "spec": "", "until_ms": 10**9}
             _, answer = await worker.take_call(CallKind.START, {**late, "fence": before})
             self.assertEqual("fence", answer.reason)
@@ -283,7 +283,7 @@
     def test_a_start_that_no_worker_can_have_seen_has_not_begun(self) -> None:
         settings = SimpleNamespace(worker=SimpleNamespace(address=find_address()))
         driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-        driver.meet(make_life("first"))
+        driver.register(make_life("first"))
         outcome = self.run_async(driver.start(make_request(), get_limit=always))
         self.assertIs(StartOutcome.NOT_LISTENING, outcome)
 
@@ -365,7 +365,7 @@
                 failure = OSError(number, "no")
                 with mock.patch.object(loop, "create_connection", side_effect=failure):
                     try:
-                        await driver.look(plan(wait_s=0.0, renews=False), limit=always())
+                        await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
                     except WorkerUnanswered:
                         continue
                     except WorkerGone as error:
@@ -380,7 +380,7 @@
         """
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
             body = msgspec.json.encode({"clock_ms": 1.0, "reason": reason})
             silence = HttpFailure("no answer in time", is_unreachable=False)
             answers = [silence, JsonResponse(status=status, body=body)]
@@ -402,11 +402,11 @@
         clock of another."""
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.look(plan(wait_s=0.0, renews=True), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
             await driver.start(make_request(run_s=0.1), get_limit=always)
-            look = asyncio.create_task(driver.look(plan(wait_s=0.5, renews=True), limit=always()))
+            look = asyncio.create_task(driver.poll(plan(wait_s=0.5, renews=True), limit=always()))
             await asyncio.sleep(0.02)
-            driver.meet(make_life("i-next"))
+            driver.register(make_life("i-next"))
             with contextlib.suppress(WorkerUnanswered, WorkerReplaced):
                 await look
             self.assertEqual((0, False), (driver._ends_seen, driver._clock.is_known))
