--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -4,7 +4,6 @@
 
 import asyncio
 from collections.abc import Callable
-
 from dalemast import clock
 from dalemast.core.scheduling import CapacityRequest, EndReason
 from dalemast.core.supervision import (
@@ -28,9 +27,15 @@
 )
 from dalemast.fleet.agent.owners import OwnerLinks
 from dalemast.fleet.agent.stops import STOP_RETRY_S, StopBook
-from dalemast.fleet.base import BaseWorkerDriver, WorkerGone, WorkerReplaced, WorkerUnanswered
+from dalemast.fleet.base import (
+    BaseWorkerDriver,
+    WorkerGone,
+    WorkerReplaced,
+    WorkerUnanswered,
+)
 from dalemast.observability import Metrics, log_event
 
+
 __all__ = ["WorkerLoop"]
 
 REFUSED_PAUSE_S = 0.02
@@ -195,7 +200,7 @@
         self._looked_at = clock.monotonic()
         plan = self._looks.plan(has_runs=is_waiting, now=self._looked_at)
         try:
-            look = await self._driver.look(plan, limit=self._supervisor.get_lease_limit())
+            look = await self._driver.poll(plan, limit=self._supervisor.get_lease_limit())
         except WorkerUnanswered:
             self._looks.note_unanswered()
             self._note_silence()
@@ -292,7 +297,7 @@
         if life.id == self._addressed_life:
             return
         self._addressed_life = life.id
-        self._driver.meet(life)
+        self._driver.register(life)
         self._looks.begin_incarnation()
         self._refused = 0
         log_event("worker:met", worker=life.id, cpu=life.capacity.cpu)
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -4,9 +4,6 @@
 
 import abc
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
-
 from dalemast.core.evacuations import EvacuationChanges
 from dalemast.core.scheduling import JobState
 from dalemast.core.supervision import (
@@ -18,8 +15,15 @@
     StartRequest,
 )
 from dalemast.core.supervision.base import WorkerIncarnation
-from dalemast.core.workloads import JobRequest, Queue, QueueTable
+from dalemast.core.workloads import (
+    JobRequest,
+    Queue,
+    QueueTable,
+)
 from dalemast.observability import Metrics
+from dataclasses import dataclass
+from typing import Any, Protocol
+
 
 __all__ = [
     "BaseIngress",
@@ -33,7 +37,7 @@
     "JobOutcome",
     "JobRejected",
     "Jobs",
-    "Look",
+    "PollResult",
     "Member",
     "WorkerGone",
     "WorkerObserver",
@@ -135,10 +139,10 @@
 class DeclarationObserver(Protocol):
     """Hears what operators declare."""
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in what an answer of the store says of evacuations, also if nothing has changed."""
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def handle_configuration(self, configuration: Configuration) -> None:
         """Take in a configuration as it is accepted."""
 
 
@@ -167,7 +171,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Look:
+class PollResult:
     """What a worker lists. ``asked_at`` is when it was asked, on the agent's steady clock."""
 
     running: tuple[ListedRun, ...]
@@ -196,7 +200,7 @@
         """When everything on the worker has surely lapsed, by what was sent so far."""
 
     @abc.abstractmethod
-    def meet(self, life: WorkerIncarnation) -> None:
+    def register(self, life: WorkerIncarnation) -> None:
         """Address all further calls to this life."""
 
     @abc.abstractmethod
@@ -212,7 +216,7 @@
         """Order a stop; return whether it was answered."""
 
     @abc.abstractmethod
-    async def look(self, plan: PollPlan, *, limit: float) -> Look:
+    async def poll(self, plan: PollPlan, *, limit: float) -> PollResult:
         """Ask what runs and what ended, and renew the lease if that is planned.
 
         ``limit`` is until when the worker may be told to run on, by the agent's steady clock.
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -4,7 +4,6 @@
 
 import math
 from collections.abc import Callable, Iterable
-
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.scheduling import (
@@ -22,8 +21,8 @@
     WorkerView,
 )
 from dalemast.core.workloads import Resources, TaskKey
+from dalemast.fleet.address_book import AddressBook, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook, to_row
 from dalemast.fleet.crashes import make_crashed, read_crashed
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
@@ -36,33 +35,34 @@
 from dalemast.fleet.frames import (
     AgentHello,
     AgentMessage,
-    Beat,
-    Bye,
-    ClockAnswer,
-    ClockAsk,
-    Crashed,
-    EntriesHeard,
+    CapacityReleases,
+    CapacityReport as CapacityFrame,
+    CapacityRequestUpdate,
+    ClockRequest,
+    ClockResponse,
     EntryHello,
-    MemberNews,
+    Goodbye,
+    LinkHeartbeat,
+    MemberUpdate,
+    ReachableEntries,
     Reconciled,
     Relayed,
-    RoomComing,
-    RoomNews,
     RouteEnded,
-    RunCutShort,
+    RunDepartureRisk,
     RunEnded,
     RunSlow,
-    Said,
+    SentAt,
     Stop,
-    Wants,
+    WorkerCrashed,
     WorkerLeaving,
-    WorkerNews,
     WorkerPace,
+    WorkerReport,
 )
 from dalemast.fleet.links import Link
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import log_event
 
+
 __all__ = ["AgentLinks"]
 
 LOGGED_ENDS = frozenset(
@@ -94,7 +94,7 @@
         get_checked_at: Callable[[], float],
         check_pause: Callable[[], bool],
         record_run_end: Callable[[RunEnded, str], None],
-        notify_peers: Callable[[Crashed], None],
+        notify_peers: Callable[[WorkerCrashed], None],
     ) -> None:
         self._member = member
         self._book = book
@@ -130,7 +130,7 @@
 
     def send_members(self, members: Iterable[Member]) -> None:
         """Pass on entries that were learned of."""
-        news = MemberNews(members=tuple(to_row(member) for member in members))
+        news = MemberUpdate(members=tuple(to_row(member) for member in members))
         if news.members:
             for session in self._sessions.values():
                 session.link.send(news)
@@ -158,7 +158,7 @@
 
     def send_capacity_requests(self, asked: RequestCapacity) -> None:
         """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_capacity_request_row(asked.request))
+        message = CapacityRequestUpdate(want=make_capacity_request_row(asked.request))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -172,37 +172,37 @@
         """Take in one message."""
         assert self._routes is not None
         match message:
-            case ClockAsk():
+            case ClockRequest():
                 self._answer_clock(session, message)
             case AgentHello():
                 self._greet(session, message)
-            case WorkerNews():
+            case WorkerReport():
                 self._meet_worker(session, message)
-            case RoomNews():
+            case CapacityFrame():
                 self._update_room(session, message)
-            case RoomComing():
+            case CapacityReleases():
                 self._note_coming_room(session, message)
             case WorkerPace():
                 self._note_speed(session, message)
             case WorkerLeaving():
                 self._note_leaving(session, message)
-            case RunCutShort():
+            case RunDepartureRisk():
                 self._note_cut_short(session, message)
-            case Crashed():
+            case WorkerCrashed():
                 self._note_crash(message)
             case RunEnded():
                 self._end_run(session, message)
             case RunSlow():
                 self._report_slow(session, message)
-            case EntriesHeard():
+            case ReachableEntries():
                 self._routes.handle_reachable_entries(session, message)
             case Relayed():
                 self._routes.handle_frame(session, message)
             case RouteEnded():
                 self._routes.handle_route_ended(session, message)
-            case Bye():
+            case Goodbye():
                 session.is_ending = True
-            case Beat():
+            case LinkHeartbeat():
                 pass
 
     def end_session(self, session: AgentSession, reason: str) -> None:
@@ -220,7 +220,7 @@
     def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all agents."""
         for session in self._sessions.values():
-            session.link.forgive(late_s)
+            session.link.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
         """Send beats and give up silent links."""
@@ -239,7 +239,7 @@
         times = self._times
         link = session.link
         if now - link.sent_at >= (times.beat_s if is_busy else times.idle_beat_s):
-            link.send(Beat())
+            link.send(LinkHeartbeat())
         heard_at = max(link.heard_at, session.active_since or 0.0)
         silence_s = now - heard_at
         if silence_s > (times.silence_s if is_busy else times.idle_silence_s):
@@ -249,16 +249,16 @@
         if session.active_since is None:
             session.active_since = clock.monotonic()
 
-    def _make_sent_at(self) -> Said:
+    def _make_sent_at(self) -> SentAt:
         """Return when what follows is said: when this process last knew that it ran on.
 
         It may have stood still since, between a decision and its sending.
         """
-        return Said(at_ms=int(self._get_checked_at() * 1000))
+        return SentAt(at_ms=int(self._get_checked_at() * 1000))
 
-    def _answer_clock(self, session: AgentSession, asked: ClockAsk) -> None:
+    def _answer_clock(self, session: AgentSession, asked: ClockRequest) -> None:
         heard_at_ms = math.ceil(clock.monotonic() * 1000)
-        session.link.send(ClockAnswer(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        session.link.send(ClockResponse(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
 
     def _greet(self, session: AgentSession, hello: AgentHello) -> None:
         before = self._sessions.get(hello.name)
@@ -270,12 +270,12 @@
         evacuations = self._evacuations.make_news()
         if evacuations is not None:
             session.link.send(evacuations)
-        session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
+        session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
         log_event("agent:link", agent=hello.name)
         if self._routes is not None:
             self._routes.add_agent(session)
 
-    def _meet_worker(self, session: AgentSession, news: WorkerNews) -> None:
+    def _meet_worker(self, session: AgentSession, news: WorkerReport) -> None:
         hello = session.hello
         if hello is None:
             return
@@ -319,7 +319,7 @@
             del self._by_worker[worker]
             self._apply(self._scheduler.lose_worker(worker, now=clock.monotonic()))
 
-    def _update_room(self, session: AgentSession, news: RoomNews) -> None:
+    def _update_room(self, session: AgentSession, news: CapacityFrame) -> None:
         report = CapacityReport(
             seen=news.seen,
             free=Resources(cpu=news.cpu, memory_mb=news.memory_mb, gpu=news.gpu),
@@ -329,7 +329,7 @@
         now = clock.monotonic()
         self._apply(self._scheduler.update_worker(session.worker, report, now=now))
 
-    def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
+    def _note_coming_room(self, session: AgentSession, news: CapacityReleases) -> None:
         rows = tuple(CapacityRelease(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
         self._scheduler.note_capacity_releases(session.worker, rows, now=clock.monotonic())
 
@@ -352,7 +352,7 @@
             believed=view.baseline_slowness if view else None,
         )
 
-    def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
+    def _note_cut_short(self, session: AgentSession, news: RunDepartureRisk) -> None:
         row = news.run
         report = DepartureRisk(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
         key = TaskKey(row.step, row.position)
@@ -361,25 +361,25 @@
         )
         self._apply(actions)
 
-    def _note_crash(self, news: Crashed) -> None:
+    def _note_crash(self, news: WorkerCrashed) -> None:
         """Take in a crash, and tell the peers of the tasks that this entry owns."""
         own = tuple(row for row in news.tasks if row.job in self._scheduler.open_jobs)
         if own:
-            self._tell_peers(Crashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
+            self._tell_peers(WorkerCrashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
         self._take_crash(news, is_hearsay=False)
 
-    def handle_relayed_reports(self, news: Crashed) -> None:
+    def handle_relayed_reports(self, news: WorkerCrashed) -> None:
         """Take in a crash that a peer tells of."""
         self._take_crash(news, is_hearsay=True)
 
-    def make_relayed_reports(self) -> list[Crashed]:
+    def make_relayed_reports(self) -> list[WorkerCrashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
         return [
             make_crashed(end.incarnation, rows, is_seen=end.is_observed) for end, rows in crashes
         ]
 
-    def _take_crash(self, news: Crashed, *, is_hearsay: bool) -> None:
+    def _take_crash(self, news: WorkerCrashed, *, is_hearsay: bool) -> None:
         actions = self._scheduler.note_crash(
             news.worker,
             read_crashed(news),
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -4,16 +4,30 @@
 
 import asyncio
 import itertools
-from collections.abc import Callable, Iterable, Mapping
-from dataclasses import dataclass
-from typing import Protocol
-
+from collections.abc import (
+    Callable,
+    Iterable,
+    Mapping,
+)
 from dalemast import clock
-from dalemast.core.ownership import Claims, Granted, Held, choose_home
+from dalemast.core.ownership import (
+    Claims,
+    Granted,
+    Held,
+    choose_home,
+)
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.frames import Claim, ClaimAnswer, Release, Yield
+from dalemast.fleet.frames import (
+    Claim,
+    ClaimResponse,
+    Release,
+    Yield,
+)
 from dalemast.observability import log_event
+from dataclasses import dataclass
+from typing import Protocol
+
 
 __all__ = ["JobClaims", "OwnJobs", "PeerSearch"]
 
@@ -152,11 +166,11 @@
             return
         result = self._grant(claim.job, session.member.incarnation)
         if isinstance(result, Granted):
-            session.link.send(ClaimAnswer(number=claim.number, is_granted=True))
+            session.link.send(ClaimResponse(number=claim.number, is_granted=True))
             return
         lapses_in_s = -1.0 if result.free_at is None else result.free_at - clock.monotonic()
         session.link.send(
-            ClaimAnswer(
+            ClaimResponse(
                 number=claim.number,
                 is_granted=False,
                 holder=result.owner,
@@ -164,7 +178,7 @@
             )
         )
 
-    def handle_response(self, answer: ClaimAnswer) -> None:
+    def handle_response(self, answer: ClaimResponse) -> None:
         """Take in an answer, unless it came too late."""
         question = self._asked.pop(answer.number, None)
         if question is not None and not question.answer.done():
@@ -287,7 +301,7 @@
 
     async def _ask_all(
         self, sessions: Iterable[PeerSession], job_id: str, timeout_s: float
-    ) -> dict[PeerSession, ClaimAnswer | None]:
+    ) -> dict[PeerSession, ClaimResponse | None]:
         """Ask for an id on these links; return the answers, None for each that was not given."""
         asked = {session: self._ask(session, job_id) for session in sessions}
         await asyncio.wait([question.answer for question in asked.values()], timeout=timeout_s)
@@ -357,18 +371,18 @@
     """A claim that waits for its answer, which is None once its link has ended."""
 
     session: PeerSession
-    answer: asyncio.Future[ClaimAnswer | None]
+    answer: asyncio.Future[ClaimResponse | None]
 
-    def read(self) -> ClaimAnswer | None:
+    def read(self) -> ClaimResponse | None:
         """Return the answer if it was given."""
         return self.answer.result() if self.answer.done() else None
 
 
-def _is_grant(answer: ClaimAnswer | None) -> bool:
+def _is_grant(answer: ClaimResponse | None) -> bool:
     return answer is not None and answer.is_granted
 
 
-def _find_refusal(answers: Iterable[ClaimAnswer | None]) -> Held | None:
+def _find_refusal(answers: Iterable[ClaimResponse | None]) -> Held | None:
     """Return the first answer that names another owner."""
     for answer in answers:
         if answer is not None and not answer.is_granted and answer.holder:
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -3,18 +3,18 @@
 from __future__ import annotations
 
 from collections.abc import Collection
-
-import msgspec
-
 from dalemast import clock
 from dalemast.core.scheduling import QueuedDemand, Scheduler
 from dalemast.core.scheduling.demand_reports import get_demand_report_interval_s
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
-from dalemast.fleet.frames import DemandNews, DemandRow
+from dalemast.fleet.frames import DemandReport, DemandRow
 from dalemast.fleet.links import encode_message
 from dalemast.observability import Metrics, log_event
 
+import msgspec
+
+
 __all__ = ["DemandExchange"]
 
 LOG_PAUSE_S = 1.0
@@ -62,7 +62,7 @@
         self._metrics.count("demand.told", len(due))
         self._log_waiting(words, now)
 
-    def handle_report(self, member: Member, news: DemandNews) -> None:
+    def handle_report(self, member: Member, news: DemandReport) -> None:
         """Take in all that waits at a peer."""
         if not self._is_on:
             return
@@ -136,8 +136,8 @@
         return True
 
 
-def _make_news(words: tuple[QueuedDemand, ...]) -> DemandNews:
-    return DemandNews(
+def _make_news(words: tuple[QueuedDemand, ...]) -> DemandReport:
+    return DemandReport(
         rows=tuple(
             DemandRow(
                 service=word.service,
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -7,11 +7,14 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
+from dalemast.fleet.address_book import (
+    AddressBook,
+    to_member,
+    to_row,
+)
 from dalemast.fleet.base import Member
-from dalemast.fleet.book import AddressBook, to_member, to_row
 from dalemast.fleet.entry.claims import JobClaims, OwnJobs
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.configuration_exchange import ConfigurationExchange
@@ -20,28 +23,34 @@
 from dalemast.fleet.entry.routes import PeerRoutes
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
-    Beat,
-    Bye,
     Claim,
-    ClaimAnswer,
-    ConfigurationAsk,
-    ConfigurationLater,
-    ConfigurationNews,
-    Crashed,
-    DemandNews,
-    EvacuationNews,
-    MemberNews,
+    ClaimResponse,
+    ConfigurationDeferred,
+    ConfigurationRequest,
+    ConfigurationUpdate,
+    DemandReport,
+    EvacuationUpdate,
+    Goodbye,
+    LinkHeartbeat,
+    MemberUpdate,
     PeerHello,
     PeerMessage,
     Release,
-    VersionNews,
+    VersionAnnouncement,
+    WorkerCrashed,
     Yield,
 )
-from dalemast.fleet.links import BaseLink, Dialer, Link, RelayedLink
+from dalemast.fleet.links import (
+    BaseLink,
+    Dialer,
+    Link,
+    RelayedLink,
+)
 from dalemast.fleet.paths import PEERS_PATH
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import log_event
 
+
 __all__ = ["PeerLinks"]
 
 BEAT_S = 0.2
@@ -69,8 +78,8 @@
         times: FleetTimes,
         jobs: OwnJobs,
         notify_agents: Callable[[Iterable[Member]], None],
-        handle_crash: Callable[[Crashed], None],
-        make_crashes: Callable[[], list[Crashed]],
+        handle_crash: Callable[[WorkerCrashed], None],
+        make_crashes: Callable[[], list[WorkerCrashed]],
         demand: DemandExchange,
     ) -> None:
         self._member = member
@@ -144,7 +153,7 @@
     def stop(self) -> None:
         """Say goodbye and end all links."""
         for session in self._sessions:
-            session.link.send(Bye())
+            session.link.send(Goodbye())
             session.link.flush()
         for dialer in self._dialers.values():
             dialer.stop()
@@ -171,7 +180,7 @@
         for session in self._dialled.values():
             session.link.send(news)
 
-    def send_crash(self, crashed: Crashed) -> None:
+    def send_crash(self, crashed: WorkerCrashed) -> None:
         """Tell all entries of tasks here under which a worker has crashed.
 
         The caller may ask any of them next, and not every one has a link with that worker's agent.
@@ -185,7 +194,7 @@
         if not news:
             return
         for session in self._dialled.values():
-            session.link.send(MemberNews(members=tuple(to_row(member) for member in news)))
+            session.link.send(MemberUpdate(members=tuple(to_row(member) for member in news)))
         self._tell_agents(news)
 
     def handle_message(self, session: PeerSession, message: PeerMessage) -> None:
@@ -193,33 +202,33 @@
         match message:
             case PeerHello():
                 self._greet(session, message)
-            case MemberNews():
+            case MemberUpdate():
                 self.add_members([to_member(row) for row in message.members])
-            case EvacuationNews():
+            case EvacuationUpdate():
                 self._take_evacuations(session, message)
-            case VersionNews():
+            case VersionAnnouncement():
                 self._take_version(session, message)
-            case ConfigurationAsk():
+            case ConfigurationRequest():
                 self._configuration_exchange.send_configuration(session, message)
-            case ConfigurationLater():
+            case ConfigurationDeferred():
                 self._configuration_exchange.handle_deferred(session)
-            case ConfigurationNews():
+            case ConfigurationUpdate():
                 self._configuration_exchange.handle_configuration(session, message)
             case Claim():
                 self._claims.handle_claim(session, message)
-            case ClaimAnswer():
+            case ClaimResponse():
                 self._claims.handle_response(message)
             case Release():
                 self._claims.handle_release(session, message)
             case Yield():
                 self._claims.handle_yield(session, message)
-            case Crashed():
+            case WorkerCrashed():
                 self._take_crash(message)
-            case DemandNews():
+            case DemandReport():
                 self._take_demand(session, message)
-            case Bye():
+            case Goodbye():
                 session.is_ending = True
-            case Beat():
+            case LinkHeartbeat():
                 self._check_own_link(session, is_heard=message.hears_other)
 
     def end_session(self, session: PeerSession) -> None:
@@ -242,7 +251,7 @@
     def reset_liveness_timers(self, late_s: float) -> None:
         """Take a time in which this entry did not listen off the silence of all others."""
         for session in self._sessions:
-            session.link.forgive(late_s)
+            session.link.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
         """Send beats, give up silent links, forget owners that are gone."""
@@ -253,7 +262,7 @@
             # What a busy link carries stands for its beats, but does not tell of the other link.
             is_due = now - session.link.sent_at >= beat_s or not hears_other
             if is_due and self._carries_beats(session):
-                session.link.send(Beat(hears_other=hears_other))
+                session.link.send(LinkHeartbeat(hears_other=hears_other))
             if now - self._get_heard_at(session) > SILENT_BEATS * beat_s:
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
@@ -263,7 +272,7 @@
         self._claims.sweep(now)
         self._configuration_exchange.tick(now)
 
-    def _take_demand(self, session: PeerSession, news: DemandNews) -> None:
+    def _take_demand(self, session: PeerSession, news: DemandReport) -> None:
         """Take in what waits at a peer, if it comes by the link that the peer uses now."""
         member = session.member
         if member is not None and self._accepted.get(member.incarnation) is session:
@@ -381,7 +390,7 @@
         session.member = member
         self._met.add(member.name)
         self.add_members([member])
-        session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
+        session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
         self._claims.handle_open_ids(session, hello.jobs)
         self._claims.record_greeting(session)
         if session.is_dialled:
@@ -421,12 +430,12 @@
         if before is not None and before is not session and not before.is_relayed:
             self.end_session(before)
 
-    def _take_version(self, session: PeerSession, news: VersionNews) -> None:
+    def _take_version(self, session: PeerSession, news: VersionAnnouncement) -> None:
         """Take in a version, unless it could come by way of an agent alone."""
         if not session.is_relayed:
             self._configuration_exchange.handle_version(session, news)
 
-    def _take_evacuations(self, session: PeerSession, news: EvacuationNews) -> None:
+    def _take_evacuations(self, session: PeerSession, news: EvacuationUpdate) -> None:
         answer = self._evacuations.take(news, source=session.name or "peer")
         if answer is not None:
             session.link.send(answer)
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -7,7 +7,11 @@
 import msgspec
 
 from dalemast import clock
-from dalemast.core.evacuations import EvacuationChanges, EvacuationRecord, Evacuations
+from dalemast.core.evacuations import (
+    EvacuationChanges,
+    EvacuationRecord,
+    Evacuations,
+)
 from dalemast.core.scheduling import (
     BalancedPlacement,
     BasePlacement,
@@ -17,6 +21,7 @@
     SchedulerLimits,
 )
 from dalemast.core.workloads import JobRequest, QueueTable
+from dalemast.fleet.address_book import AddressBook
 from dalemast.fleet.backends import load_backend
 from dalemast.fleet.base import (
     BaseIngress,
@@ -25,7 +30,6 @@
     JobRejected,
     Member,
 )
-from dalemast.fleet.book import AddressBook
 from dalemast.fleet.crashes import make_unseen
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.entry.configuration import ConfigurationInForce
@@ -37,7 +41,7 @@
 from dalemast.fleet.links import LinkListener, LinkRoute
 from dalemast.fleet.paths import AGENTS_PATH, PEERS_PATH
 from dalemast.fleet.pauses import PauseWatch
-from dalemast.fleet.process import TICK_S, BaseFleetProcess
+from dalemast.fleet.process import BaseFleetProcess, TICK_S
 from dalemast.observability import log_event
 from dalemast.process import make_incarnation
 from dalemast.settings import FleetEntrySettings
@@ -156,11 +160,11 @@
         """Cancel a job whose caller has hung up."""
         self._tracker.leave(job_id)
 
-    def take_evacuations(self, changes: EvacuationChanges) -> None:
+    def handle_evacuations(self, changes: EvacuationChanges) -> None:
         """Take in what the store says of evacuations."""
         self._evacuations.offer(self._evacuation_record.apply(changes), source="store")
 
-    def take_configuration(self, configuration: Configuration) -> None:
+    def handle_configuration(self, configuration: Configuration) -> None:
         """Take in a configuration from the store."""
         self._configuration.offer(configuration, source="store")
 
@@ -274,7 +278,7 @@
         await self._ingress.close()
         await self._listener.close()
 
-    def _forgive_silence(self, late_s: float) -> None:
+    def _reset_liveness_timers(self, late_s: float) -> None:
         """Take the time that this process was late itself off the silence of all links."""
         self._agents.reset_liveness_timers(late_s)
         self._peers.reset_liveness_timers(late_s)
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -16,23 +16,23 @@
 import itertools
 import random
 from collections.abc import Mapping
-from dataclasses import dataclass
-from typing import Protocol
-
-import msgspec
-
 from dalemast import clock
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.peer_sessions import PeerSession
 from dalemast.fleet.frames import (
-    EntriesAsk,
-    EntriesHeard,
     PeerMessage,
+    ReachableEntries,
+    ReachableEntriesRequest,
     Relayed,
     RouteEnded,
 )
 from dalemast.fleet.links import RelayedLink
 from dalemast.observability import log_error, log_event
+from dataclasses import dataclass
+from typing import Protocol
+
+import msgspec
+
 
 __all__ = ["PeerRoutes", "RouteReceiver"]
 
@@ -153,7 +153,7 @@
         for session in self._views:
             self._ask(session)
 
-    def handle_reachable_entries(self, session: AgentSession, news: EntriesHeard) -> None:
+    def handle_reachable_entries(self, session: AgentSession, news: ReachableEntries) -> None:
         """Take in whom an agent hears."""
         if session not in self._views:
             return
@@ -194,7 +194,7 @@
             del self._suspects[incarnation]
 
     def _ask(self, session: AgentSession) -> None:
-        ask = EntriesAsk(number=self._asked, suspects=tuple(self._suspects))
+        ask = ReachableEntriesRequest(number=self._asked, suspects=tuple(self._suspects))
         session.link.send(ask)
 
     def _is_waiting(self) -> bool:
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -5,10 +5,10 @@
 from dalemast.core.scheduling import CapacityRequest, StartTask
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import (
+    CapacityRequestRow,
     RunRow,
     StartRow,
     Starts,
-    WantRow,
 )
 
 __all__ = ["make_run_row", "make_starts", "make_capacity_request_row"]
@@ -19,11 +19,11 @@
     return RunRow(job=job_id, step=task.step, position=task.position, run=run)
 
 
-def make_capacity_request_row(want: CapacityRequest | None) -> WantRow | None:
+def make_capacity_request_row(want: CapacityRequest | None) -> CapacityRequestRow | None:
     """Return what an owner lacks room for, to a tenth of a millisecond."""
     if want is None:
         return None
-    return WantRow(
+    return CapacityRequestRow(
         rank=tuple(round(part, 4) for part in want.rank),
         cpu=want.cpu,
         preempts_from=-1 if want.preempts_from is None else want.preempts_from,
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -4,18 +4,34 @@
 
 import asyncio
 from collections.abc import Callable, Coroutine
+from dalemast.core.ownership import (
+    Granted,
+    Held,
+    choose_home,
+)
+from dalemast.fleet.base import Member
+from dalemast.fleet.entry.claims import (
+    JobClaims,
+    STARTUP_GRACE_S,
+    SUSPECT_S,
+)
+from dalemast.fleet.frames import (
+    Claim,
+    ClaimResponse,
+    Release,
+    Yield,
+)
+from dalemast.fleet.timing import FleetTimes
+from hypothesis import (
+    given,
+    settings,
+    strategies as st,
+)
+from tests.base import AsyncTestCase
 from typing import Any
 from unittest import mock
 
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
-from dalemast.core.ownership import Granted, Held, choose_home
-from dalemast.fleet.base import Member
-from dalemast.fleet.entry.claims import STARTUP_GRACE_S, SUSPECT_S, JobClaims
-from dalemast.fleet.frames import Claim, ClaimAnswer, Release, Yield
-from dalemast.fleet.timing import FleetTimes
-from tests.base import AsyncTestCase
 
 LAPSE_S = FleetTimes().lost_run_s
 CUT_S = 6.0
@@ -163,7 +179,7 @@
         match message:
             case Claim():
                 self.claims.handle_claim(peer, message)
-            case ClaimAnswer():
+            case ClaimResponse():
                 self.claims.handle_response(message)
             case Release():
                 self.claims.handle_release(peer, message)
