--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+
 from dalemast import clock
 from dalemast.core.ownership import LinkBounds
 from dalemast.core.scheduling import (
@@ -58,7 +59,6 @@
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import Metrics, log_event
 
-
 __all__ = ["OwnerLinks"]
 
 
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Mapping
+
 from dalemast import clock
 from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import (
@@ -26,7 +27,6 @@
 )
 from dalemast.observability import Metrics, log_event
 
-
 __all__ = ["WorkerReports", "make_leaving", "to_row", "to_want"]
 
 STAYS = -1.0
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -4,6 +4,7 @@
 
 import asyncio
 from collections.abc import Callable
+
 from dalemast import clock
 from dalemast.core.scheduling import CapacityRequest, EndReason
 from dalemast.core.supervision import (
@@ -35,7 +36,6 @@
 )
 from dalemast.observability import Metrics, log_event
 
-
 __all__ = ["WorkerLoop"]
 
 REFUSED_PAUSE_S = 0.02
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -4,6 +4,9 @@
 
 import abc
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any, Protocol
+
 from dalemast.core.evacuations import EvacuationChanges
 from dalemast.core.scheduling import JobState
 from dalemast.core.supervision import (
@@ -21,9 +24,6 @@
     QueueTable,
 )
 from dalemast.observability import Metrics
-from dataclasses import dataclass
-from typing import Any, Protocol
-
 
 __all__ = [
     "BaseIngress",
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Callable, Iterable
+
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.scheduling import (
@@ -36,7 +37,6 @@
     AgentHello,
     AgentMessage,
     CapacityReleases,
-    CapacityReport as CapacityFrame,
     CapacityRequestUpdate,
     ClockRequest,
     ClockResponse,
@@ -58,11 +58,13 @@
     WorkerPace,
     WorkerReport,
 )
+from dalemast.fleet.frames import (
+    CapacityReport as CapacityFrame,
+)
 from dalemast.fleet.links import Link
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import log_event
 
-
 __all__ = ["AgentLinks"]
 
 LOGGED_ENDS = frozenset(
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -16,6 +16,11 @@
 import itertools
 import random
 from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Protocol
+
+import msgspec
+
 from dalemast import clock
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.peer_sessions import PeerSession
@@ -28,11 +33,6 @@
 )
 from dalemast.fleet.links import RelayedLink
 from dalemast.observability import log_error, log_event
-from dataclasses import dataclass
-from typing import Protocol
-
-import msgspec
-
 
 __all__ = ["PeerRoutes", "RouteReceiver"]
 
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -8,12 +8,12 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling import EndReason
-from dalemast.core.workloads import Queue
 from typing import Any
 
 import msgspec
 
+from dalemast.core.scheduling import EndReason
+from dalemast.core.workloads import Queue
 
 __all__ = [
     "AgentHello",
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -4,6 +4,10 @@
 
 import time
 from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
 from dalemast import clock
 from dalemast.core.clocks import LeastLead
 from dalemast.core.scheduling import EndReason
@@ -31,18 +35,14 @@
 from dalemast.observability import log_event
 from dalemast.platform.lives import read_life_id
 from dalemast.platform.wire import (
-    ClockAnswer,
     EXPECTED_LIFE_HEADER,
+    ClockAnswer,
     HoldAnswer,
     HoldCall,
     StartCall,
     StopCall,
 )
 from dalemast.settings import FleetAgentSettings
-from typing import Any
-
-import msgspec
-
 
 __all__ = ["PlatformWorkerDriver"]
 
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -4,6 +4,17 @@
 
 import asyncio
 from collections.abc import Callable, Coroutine
+from typing import Any
+from unittest import mock
+
+from hypothesis import (
+    given,
+    settings,
+)
+from hypothesis import (
+    strategies as st,
+)
+
 from dalemast.core.ownership import (
     Granted,
     Held,
@@ -11,9 +22,9 @@
 )
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.claims import (
-    JobClaims,
     STARTUP_GRACE_S,
     SUSPECT_S,
+    JobClaims,
 )
 from dalemast.fleet.frames import (
     Claim,
@@ -22,16 +33,7 @@
     Yield,
 )
 from dalemast.fleet.timing import FleetTimes
-from hypothesis import (
-    given,
-    settings,
-    strategies as st,
-)
 from tests.base import AsyncTestCase
-from typing import Any
-from unittest import mock
-
-
 
 LAPSE_S = FleetTimes().lost_run_s
 CUT_S = 6.0
--- a/tests/fleet/test_looks.py
+++ b/tests/fleet/test_looks.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import asyncio
+from unittest import mock
+
 from dalemast.core.supervision import (
     PollPlan,
     RunId,
@@ -17,8 +19,6 @@
 from dalemast.fleet.base import PollResult, WorkerUnanswered
 from dalemast.observability import Metrics
 from tests.base import AsyncTestCase
-from unittest import mock
-
 
 LOOKS = 8
 
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -4,6 +4,9 @@
 
 import asyncio
 import time
+from typing import Any
+from unittest import mock
+
 from dalemast import clock
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import (
@@ -16,9 +19,6 @@
 )
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, make_text
-from typing import Any
-from unittest import mock
-
 
 JOB = "00000000000000e{:x}"
 ASIDE_S = 0.02
--- a/tests/platform/reports.py
+++ b/tests/platform/reports.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 from dalemast.core.supervision import WorkerIncarnation
 from dalemast.settings import (
     AddressSettings,
     FleetAgentSettings,
     ListenerSettings,
 )
-from typing import Any
-
 
 ADDRESS = "10.1.0.14:8165"
 DATA_CENTRE = "austin"
