--- a/dalemast/core/supervision/__init__.py
+++ b/dalemast/core/supervision/__init__.py
@@ -1,4 +1,4 @@
-"""The agent's side: one worker's room, leases and runs, and the word on them to owners."""
+"""Supervision of one worker by its agent: capacity, leases, runs and reports to owners."""
 
 from dalemast.core.supervision.actions import (
     Action,
--- a/dalemast/core/supervision/actions.py
+++ b/dalemast/core/supervision/actions.py
@@ -1,4 +1,4 @@
-"""What the supervisor asks its surroundings to do."""
+"""Actions that the supervisor returns for its agent to carry out."""
 
 from __future__ import annotations
 
@@ -22,24 +22,25 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderStart:
-    """Tell the worker to start a run."""
+    """Start a run on the worker."""
 
     request: StartRequest
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OrderStop:
-    """Tell the worker to stop a run."""
+    """Stop a run on the worker."""
 
     run_id: RunId
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PreemptRun:
-    """Tell the worker to stop a run, so that a more urgent job can begin.
+    """Stop a run on the worker to free its capacity for a more urgent job.
 
-    ``age_s`` is how long it ran and ``lost_core_s`` the work that is lost, in core-seconds;
-    ``preempts_from`` is the lowest priority whose runs give way to that job.
+    ``age_s`` is how long it has run, in seconds, and ``lost_core_s`` the work that is lost, in
+    core-seconds. Runs whose priority number is ``preempts_from`` or higher may be preempted for
+    that job.
     """
 
     run_id: RunId
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportEnd:
-    """Tell an owner how a run ended. ``run_s`` is how long it was seen to run, in seconds."""
+    """Report to an owner how a run ended. ``run_s`` is its observed run time, in seconds."""
 
     owner: str
     run_id: RunId
@@ -61,10 +62,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportSlow:
-    """Tell an owner that a run crawls or stands still.
+    """Report to an owner that a run is slow or makes no progress.
 
-    ``total_s`` is its whole run time at its pace so far. ``worker_pace`` is how slow several
-    jobs on this worker show it to be for sure; 0 if there are too few.
+    ``total_s`` is its estimated total run time at its pace so far. ``worker_pace`` is a lower
+    estimate of the worker's pace over several jobs, or 0 if there are too few of them.
     """
 
     owner: str
@@ -77,19 +78,22 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportCapacity:
-    """Tell the owners what is free."""
+    """Report the free capacity to the owners."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportDeparture:
-    """Tell the owners the least time that the worker has left, in seconds; None if it stays."""
+    """Report in how many seconds the worker leaves at the earliest; None if it stays."""
 
     in_s: float | None
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReportDepartureRisk:
-    """Tell an owner of a run that its worker can't end, as in ``CutShort``. Times are seconds."""
+    """Report to an owner whether a run is likely to outlast its leaving worker.
+
+    ``left_s`` is the run's remaining time and ``leaves_in_s`` the worker's, both in seconds.
+    """
 
     owner: str
     run_id: RunId
--- a/dalemast/core/supervision/base.py
+++ b/dalemast/core/supervision/base.py
@@ -1,4 +1,4 @@
-"""What an agent hears from owners and from its worker."""
+"""What an agent receives from owners and from its worker."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerIncarnation:
-    """A worker's account of itself. ``id`` is new with each of its lives.
+    """One incarnation of a worker, as the worker describes itself.
 
-    ``remaining_s`` is the least time it has left while it leaves, if it says so.
+    ``id`` differs with each incarnation. ``remaining_s`` is the minimum time until a leaving worker
+    ends, in seconds, if it reports one.
     """
 
     id: str
@@ -38,11 +39,12 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartRequest:
-    """An owner's wish to start a task. ``number`` counts that owner's starts.
+    """An owner's request to start a task. ``number`` counts that owner's starts.
 
-    ``sent_at`` is when the owner said so at the earliest, by the agent's steady clock in seconds.
-    ``priority`` is the job's, and 0 the most urgent. ``spare_s`` is for how long after ``sent_at``
-    the task could begin anew and its job be on time; None if it must not be preempted.
+    ``sent_at`` is the earliest time at which the owner may have sent it, by the agent's steady
+    clock in seconds. ``priority`` is the job's, 0 being the most urgent. ``spare_s`` is for how
+    long after ``sent_at`` the task could restart with its job still on time, in seconds; None if
+    it must not be preempted.
     """
 
     owner: str
@@ -56,29 +58,29 @@
     spare_s: float | None = None
 
     def is_same(self, other: StartRequest) -> bool:
-        """Tell whether both are one wish of one owner, and not those of two submissions."""
+        """Return whether both are the same request, and not those of two submissions of a job."""
         return (self.owner, self.number) == (other.owner, other.number)
 
 
 class StartOutcome(enum.Enum):
-    """What became of an order to start."""
+    """The outcome of an order to start a run."""
 
     RUNNING = "running"
     RUN_USED = "run-used"
-    """The worker has seen this run or a later one."""
-    NO_ROOM = "no-room"
+    """The worker has already received this run or a later one."""
+    NO_CAPACITY = "no-room"
     EXPIRED = "expired"
-    """The order's lease had ended on the worker's clock before it was carried out."""
+    """The lease of the order had ended on the worker's clock before the order was executed."""
     FENCED = "fenced"
-    """The worker has seen a higher fencing token."""
+    """The worker has received a higher fencing token."""
     NOT_LISTENING = "not-listening"
-    """Nothing listened at any try, or another life did: no worker has seen the order."""
+    """No attempt reached the worker: nothing listened, or only another incarnation did."""
     REJECTED = "rejected"
-    """The worker said that it did nothing."""
-    WRONG_LIFE = "wrong-life"
-    """Another life of the worker answers at this address."""
+    """The worker reported that it did not start the run."""
+    WRONG_INCARNATION = "wrong-life"
+    """Another incarnation of the worker answers at this address."""
     UNANSWERED = "unanswered"
-    """No answer: it may have been done, or be done later."""
+    """No answer: the order may have been executed, or may be later."""
 
 
 class ListedRun(NamedTuple):
@@ -89,7 +91,7 @@
 
 
 class EndedRun(NamedTuple):
-    """A run that the worker lists as ended. ``number`` rises within a life."""
+    """A run that the worker lists as ended. ``number`` rises within an incarnation."""
 
     number: int
     run_id: RunId
--- a/dalemast/core/supervision/capacity_releases.py
+++ b/dalemast/core/supervision/capacity_releases.py
@@ -1,7 +1,6 @@
-"""When room comes free on the worker, by the progress of what runs there and its expected ends.
+"""Expected capacity releases on a worker, from the progress and expected ends of its runs.
 
-It answers long tasks that hold the room: owners that lack room hear not only that nothing is free,
-but when something will be.
+Where long tasks occupy all of the capacity, owners learn when some of it will be free.
 """
 
 from __future__ import annotations
@@ -15,17 +14,17 @@
 
 __all__ = ["list_releases"]
 
-GRAINS_PER_S = 100
-"""Ends within a hundredth of a second are one step; estimates err by more."""
+TICKS_PER_S = 100
+"""Resolution of expected ends: ends within the same hundredth of a second form one step."""
 
 
 def list_releases(runs: Iterable[Run], *, now: float) -> tuple[ComingRoom, ...]:
-    """Return the steps in which what runs frees its room, soonest first.
+    """Return the steps in which the runs release their capacity, soonest first.
 
-    The first step holds the next end, and each further one twice as many as the one before, the
-    last one all that is left: what is soon decides most. A step's time is that of its last end.
+    Each step groups twice as many ends as the one before, and the last step all that remain, since
+    the next releases matter most. The time of a step is that of its last end.
     """
-    ends = _sum_up_ends(runs, now)
+    ends = _group_ends(runs, now)
     steps: list[ComingRoom] = []
     width = 1
     while ends:
@@ -33,30 +32,30 @@
             width = len(ends)
         group, ends = ends[:width], ends[width:]
         cpu = sum(cpu for _, cpu in group)
-        steps.append(ComingRoom(in_s=group[-1][0] / GRAINS_PER_S, cpu=cpu))
+        steps.append(ComingRoom(in_s=group[-1][0] / TICKS_PER_S, cpu=cpu))
         width *= 2
     return tuple(steps)
 
 
-def _sum_up_ends(runs: Iterable[Run], now: float) -> list[tuple[int, int]]:
-    """Return the processors that come free by hundredths of a second from now, soonest first."""
+def _group_ends(runs: Iterable[Run], now: float) -> list[tuple[int, int]]:
+    """Return the thousandths of a core released at each tick from now, soonest first."""
     ends: dict[int, int] = {}
     for run in runs:
         left_s = _get_left_s(run, now)
         cpu = run.request.resources.cpu
         if left_s is not None and cpu > 0:
-            grain = math.ceil(left_s * GRAINS_PER_S)
-            ends[grain] = ends.get(grain, 0) + cpu
+            ticks = math.ceil(left_s * TICKS_PER_S)
+            ends[ticks] = ends.get(ticks, 0) + cpu
     return sorted(ends.items())
 
 
 def _get_left_s(run: Run, now: float) -> float | None:
-    """Return in how many seconds a run is expected to end, or None if nobody can say."""
+    """Return in how many seconds a run is expected to end, or None if that is unknown."""
     if run.phase is RunPhase.STOPPING or not math.isfinite(run.request.expected_s):
         return None
     age_s = now - run.started_at
-    if run.percent <= 0 or run.seen_s < MIN_AGE_S:
-        # One that is overdue and shows no progress may be of any length.
+    if run.percent <= 0 or run.observed_s < MIN_AGE_S:
+        # An overdue run without progress may take any length of time.
         left_s = run.request.expected_s - age_s
         return left_s if left_s >= 0 else None
     if run.is_stalled(now):
--- a/dalemast/core/supervision/capacity_reports.py
+++ b/dalemast/core/supervision/capacity_reports.py
@@ -1,9 +1,9 @@
-"""When an owner hears how much room a worker has.
+"""When each owner receives a report of a worker's free capacity.
 
-A report costs both sides as much as the start of a task, and at 70 workers and 12 owners reports
-were nine tenths of all messages. When a run ends, one owner hears of the room at once and may use
-it before the others hear of it, so owners seldom race for the same room: the one that has said that
-it wants room for the most urgent work, else the one whose run has ended.
+A report costs as much as the start of a task, so reports to one owner are sent at intervals. When a
+run ends, a single owner receives the report at once and the others after their interval, so that
+they do not race for the same capacity. That owner is the one with the most urgent capacity request
+that fits, or else the owner of the run that ended.
 """
 
 from __future__ import annotations
@@ -14,110 +14,111 @@
 
 __all__ = ["CapacitySubscriber", "find_most_urgent", "get_report_interval_s", "get_report_order"]
 
-NEAR_ROOM_PAUSE_S = 0.0125
-"""Shortest pause between two reports to an owner in the same data centre on what others changed,
-for each such owner: with more owners each hears less often, so that an agent's reports stay within
-about 100 a second. By simulation, 3 owners and 11 workers lose up to 0.01 of worth at pauses of
-50 ms and 400 ms; 12 owners and 70 workers lose nothing and send half the reports."""
-FAR_ROOM_PAUSE_S = 0.05
-"""The same to an owner elsewhere: bytes between data centres are priced, and such an owner places
-here only what its own data centre has no room for."""
-
-
-CONTENT_FACTOR = 16
-"""How many times longer the pause is for an owner that lacks no room: it hears of its own runs'
-ends anyway, and at once when an agent refuses a start for want of room. By simulation of twelve
-owners and 67 workers at 0.52, 0.72 and 0.88 of their capacity, 16 sends 29 %, 23 % and 10 % fewer
-reports than 4, with as many refused starts and no loss of worth."""
+SAME_DATA_CENTRE_INTERVAL_S = 0.0125
+"""Interval between reports to an owner in the same data centre, multiplied by the number of such
+owners so that an agent's total rate of reports is bounded."""
+OTHER_DATA_CENTRE_INTERVAL_S = 0.05
+"""The same for owners in other data centres. It is longer because traffic between data centres is
+charged, and such an owner uses this worker only when its own data centre is full."""
+SATISFIED_FACTOR = 16
+"""Factor on the interval for an owner without an open capacity request. It still receives the ends
+of its own runs, and a report at once when a start is refused for lack of capacity."""
 
 
 def get_report_interval_s(
     *, is_same_data_centre: bool, owners: int, is_satisfied: bool = False
 ) -> float:
-    """Return the pause between reports to one of so many owners that are as near, in seconds.
+    """Return the interval between reports to one owner, in seconds.
 
-    ``is_satisfied`` tells that the owner lacks no room.
+    ``owners`` counts the owners in the same data centre as the agent, or those in all others.
+    ``is_satisfied`` tells whether the owner has no open capacity request.
     """
-    pause_s = owners * (NEAR_ROOM_PAUSE_S if is_same_data_centre else FAR_ROOM_PAUSE_S)
-    return CONTENT_FACTOR * pause_s if is_satisfied else pause_s
+    interval_s = owners * (
+        SAME_DATA_CENTRE_INTERVAL_S if is_same_data_centre else OTHER_DATA_CENTRE_INTERVAL_S
+    )
+    return SATISFIED_FACTOR * interval_s if is_satisfied else interval_s
 
 
 def find_most_urgent(
-    audiences: Iterable[CapacitySubscriber], *, free_cpu: int
+    subscribers: Iterable[CapacitySubscriber], *, free_cpu: int
 ) -> CapacitySubscriber | None:
-    """Return the owner whose work goes first and fits into the room, or None if none wants any."""
-    asking = [
-        (audience.request.rank, number, audience)
-        for number, audience in enumerate(audiences)
-        if audience.request is not None and audience.request.cpu <= free_cpu
+    """Return the owner with the most urgent request that fits, or None if there is none."""
+    candidates = [
+        (subscriber.request.rank, number, subscriber)
+        for number, subscriber in enumerate(subscribers)
+        if subscriber.request is not None and subscriber.request.cpu <= free_cpu
     ]
-    return min(asking)[2] if asking else None
+    return min(candidates)[2] if candidates else None
 
 
-def get_report_order(audience: CapacitySubscriber) -> float:
-    """Return the sort key of owners that are told of a change together; the least goes first.
+def get_report_order(subscriber: CapacitySubscriber) -> float:
+    """Return the sort key of owners to which a change is reported together, lowest first.
 
-    The one that hears first may have taken the room when the others hear. Pauses are equal, so the
-    same owners fall due together each time, and in one order the last ones would never find room.
+    The first owner may use all of the capacity before the others receive their reports. In a fixed
+    order, owners that are due together each time would always come last and be starved.
     """
-    return audience.last_first_at
+    return subscriber.last_first_at
 
 
 class CapacitySubscriber:
-    """One owner that hears of one worker's room. Times are the agent's steady clock, in seconds."""
+    """One owner that receives reports of a worker's capacity.
+
+    Times are readings of the agent's steady clock, in seconds.
+    """
 
     def __init__(self) -> None:
         self._is_due = False
         self._is_urgent = False
-        self._told_at = float("-inf")
+        self._reported_at = float("-inf")
         self._last_first_at = float("-inf")
         self.request: Want | None = None
-        """What the owner lacks room for, by its last word."""
+        """The owner's latest capacity request; None if it needs no capacity."""
 
     @property
     def is_due(self) -> bool:
-        """Whether a report waits for its pause to be over."""
+        """Whether a report is pending until its interval has passed."""
         return self._is_due
 
     @property
     def is_satisfied(self) -> bool:
-        """Whether the owner lacks no room, by its last word."""
+        """Whether the owner has no open capacity request."""
         return self.request is None
 
     @property
     def last_first_at(self) -> float:
-        """When others last heard of a change right after it."""
+        """When this owner last received a change before other owners."""
         return self._last_first_at
 
-    def set_request(self, want: Want | None, *, receives_releases: bool) -> None:
-        """Take in what the owner lacks room for.
+    def set_request(self, request: Want | None, *, receives_releases: bool) -> None:
+        """Set the owner's capacity request.
 
-        One that ``receives_releases`` was sent none while it was satisfied, so a report is due.
+        An owner that ``receives_releases`` was sent no expected capacity releases while it had no
+        request, so a report becomes due with a new one.
         """
-        if receives_releases and self.is_satisfied and want is not None:
+        if receives_releases and self.is_satisfied and request is not None:
             self.note_change()
-        self.request = want
+        self.request = request
 
     def note_change(self) -> None:
-        """Note that the room has changed; the owner hears of it when its pause is over."""
+        """Make a report due once the interval has passed, since the capacity has changed."""
         self._is_due = True
 
     def mark_urgent(self) -> None:
-        """Note a change that the owner should hear of at once."""
+        """Make a report due at once."""
         self._is_due = True
         self._is_urgent = True
 
     def record_first(self, *, now: float) -> None:
-        """Note that others hear of the same change after it."""
+        """Record that a change was reported to this owner before others."""
         self._last_first_at = now
 
-    def take_due(self, *, now: float, pause_s: float) -> bool:
-        """Tell whether a report is due, ``pause_s`` after the one before, and count it as told."""
+    def take_due(self, *, now: float, interval_s: float) -> bool:
+        """Return whether a report is due, ``interval_s`` after the last; if so, mark it as sent."""
         if not self._is_due:
             return False
-        if not self._is_urgent and now - self._told_at < pause_s:
+        if not self._is_urgent and now - self._reported_at < interval_s:
             return False
         self._is_due = False
         self._is_urgent = False
-        self._told_at = now
+        self._reported_at = now
         return True
--- a/dalemast/core/supervision/crashes.py
+++ b/dalemast/core/supervision/crashes.py
@@ -1,4 +1,4 @@
-"""The tasks under which a worker has crashed."""
+"""The tasks that may have crashed a worker."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def list_crashed(runs: Collection[Run], *, ended_at: float | None) -> tuple[CrashedTask, ...]:
-    """Return the tasks that a worker has crashed under: all that ran on it or may have begun.
+    """Return the tasks that ran on a crashed worker or may have begun there.
 
-    A task may end its worker before its start is answered, so one whose order is open is named too.
-    ``ended_at`` is None for a worker that is given up as silent: the ages at which all its tasks
-    would have ended it are then about its lease, and say nothing of them.
+    A task may crash its worker before its start is answered, so tasks with an open order are
+    included. ``ended_at`` is None for a worker that was given up as unresponsive: ages would then
+    all be close to the lease and would make innocent tasks look alike.
     """
     return tuple(
         CrashedTask(
@@ -29,10 +29,10 @@
 
 
 def _get_age(run: Run, ended_at: float | None) -> float | None:
-    """Return how long a run had gone when its worker ended, if that is known.
+    """Return the age of a run when its worker ended, in seconds, or None if it is unknown.
 
-    It began some time between its order and the answer; an agent that stood still meanwhile can't
-    tell when.
+    A run begins between its order and the answer, so its start is unknown if the agent was paused
+    in between.
     """
     if ended_at is None or not run.has_begun:
         return None
--- a/dalemast/core/supervision/incarnations.py
+++ b/dalemast/core/supervision/incarnations.py
@@ -1,8 +1,8 @@
-"""Which life of a worker is there, when reports may arrive after their sender has crashed.
+"""Which incarnation of a worker is running, where reports may arrive late or out of order.
 
-A report that was held up on its way may name a life that another one has followed at the same
-address. Taken at its word, it would end all runs of the life that is really there: they would be
-placed again while they go on, and the worker's room would be given out twice.
+A delayed report may name an earlier incarnation than the one now running at the same address. If it
+were trusted, all runs of the current incarnation would count as ended: they would be placed again
+while they still run, and the worker's capacity would be used twice.
 """
 
 from __future__ import annotations
@@ -11,41 +11,41 @@
 
 __all__ = ["WorkerIncarnations"]
 
-MAX_OVER = 256
-"""Lives that are over and remembered. A worker has few within one life of its agent, but another
-writer may report under ids without end."""
+MAX_ENDED = 256
+"""Maximum number of ended incarnations remembered. Bounds the memory used if another process
+reports under ever new ids."""
 
 
 class WorkerIncarnations:
-    """The life that is believed to be there, one that claims its place, and those that are over.
+    """The current incarnation, one that claims its place, and those that have ended.
 
-    Only the worker tells which of two lives is there: a call addressed to a life is answered by
-    that life alone. Times are the agent's steady clock, in seconds.
+    Only an answer from the worker decides between two incarnations: a call addressed to one is
+    answered by that one alone. Times are readings of the agent's steady clock, in seconds.
     """
 
     def __init__(self) -> None:
         self._current: WorkerIncarnation | None = None
         self._claimant: WorkerIncarnation | None = None
         self._claimed_at = 0.0
-        self._over: dict[str, bool] = {}
-        """Lives that never come back, the one that ended last at the end, each with whether that is
-        proved by the worker itself; of the others it was only said."""
-        self._unproved: set[str] = set()
-        """Lives met before the current one; they are over once it has answered a call."""
+        self._ended: dict[str, bool] = {}
+        """By id of an ended incarnation, in order of ending, whether the worker's answers confirm
+        the end. Otherwise the end was only reported."""
+        self._unconfirmed: set[str] = set()
+        """Ids of earlier incarnations, which have ended once the current one answers a call."""
 
     @property
     def current(self) -> WorkerIncarnation | None:
-        """The life that calls are addressed to."""
+        """The incarnation that calls are addressed to."""
         return self._current
 
     @property
     def claimant(self) -> WorkerIncarnation | None:
-        """Another life that has reported, until the worker shows which one is there."""
+        """Another incarnation that has reported, until an answer shows which one is running."""
         return self._claimant
 
-    def meet(self, incarnation: WorkerIncarnation, *, now: float) -> bool:
-        """Take in a report; return whether it is the current life's, or has become it."""
-        if incarnation.id in self._over:
+    def register(self, incarnation: WorkerIncarnation, *, now: float) -> bool:
+        """Apply a report; return whether it is from the incarnation that is now current."""
+        if incarnation.id in self._ended:
             return False
         if self._current is None or self._current.id == incarnation.id:
             self._current = incarnation
@@ -56,45 +56,46 @@
         return False
 
     def confirm(self, *, asked_at: float) -> None:
-        """Note that the current life answered a call that was made at ``asked_at``."""
+        """Record that the current incarnation answered a call that was sent at ``asked_at``."""
         if self._current is None:
             return
-        self._unproved.discard(self._current.id)
-        for life_id in self._unproved:
-            self._note_over(life_id, is_proved=True)
-        self._unproved.clear()
+        self._unconfirmed.discard(self._current.id)
+        for incarnation_id in self._unconfirmed:
+            self._record_ended(incarnation_id, is_confirmed=True)
+        self._unconfirmed.clear()
         if self._claimant is not None and asked_at > self._claimed_at:
-            self._note_over(self._claimant.id, is_proved=True)
+            self._record_ended(self._claimant.id, is_confirmed=True)
             self._claimant = None
 
-    def lose(self, *, is_over: bool, has_said_so: bool = False) -> WorkerIncarnation | None:
-        """Give the current life up; return the claimant that has taken its place, if any.
+    def lose(self, *, is_over: bool, has_deregistered: bool = False) -> WorkerIncarnation | None:
+        """Give up the current incarnation; return the claimant that takes its place, if any.
 
-        ``is_over`` is what the worker has shown, ``has_said_so`` what was said in its name.
+        ``is_over`` tells that an answer has confirmed its end, ``has_deregistered`` that its end
+        was only reported.
         """
         if self._current is not None:
-            if is_over or has_said_so:
-                self._note_over(self._current.id, is_proved=is_over)
+            if is_over or has_deregistered:
+                self._record_ended(self._current.id, is_confirmed=is_over)
             else:
-                self._unproved.add(self._current.id)
+                self._unconfirmed.add(self._current.id)
         self._current = self._claimant
         self._claimant = None
         return self._current
 
-    def bar(self, life_id: str) -> None:
-        """Note that a life has said that it is over which is not the current one."""
-        self._note_over(life_id, is_proved=False)
-        if self._claimant is not None and self._claimant.id == life_id:
+    def mark_ended(self, incarnation_id: str) -> None:
+        """Record the reported end of an incarnation that is not the current one."""
+        self._record_ended(incarnation_id, is_confirmed=False)
+        if self._claimant is not None and self._claimant.id == incarnation_id:
             self._claimant = None
 
-    def restore(self, life_id: str) -> bool:
-        """Let a life come back that was only said to be over; return whether it was."""
-        if self._over.get(life_id, True):
+    def restore(self, incarnation_id: str) -> bool:
+        """Undo the end of an incarnation if it was only reported; return whether it was."""
+        if self._ended.get(incarnation_id, True):
             return False
-        del self._over[life_id]
+        del self._ended[incarnation_id]
         return True
 
-    def _note_over(self, life_id: str, *, is_proved: bool) -> None:
-        self._over[life_id] = is_proved or self._over.get(life_id, False)
-        if len(self._over) > MAX_OVER:
-            del self._over[next(iter(self._over))]
+    def _record_ended(self, incarnation_id: str, *, is_confirmed: bool) -> None:
+        self._ended[incarnation_id] = is_confirmed or self._ended.get(incarnation_id, False)
+        if len(self._ended) > MAX_ENDED:
+            del self._ended[next(iter(self._ended))]
--- a/dalemast/core/supervision/leases.py
+++ b/dalemast/core/supervision/leases.py
@@ -1,8 +1,8 @@
-"""The lease of everything that runs on one worker.
+"""The lease under which all runs on one worker continue.
 
-Stops get lost, and an agent may stand still between two tries at an order. So what an owner no
-longer keeps alive must end by itself: the lease is renewed no further than what the owners of all
-that runs there allow, and a start joins it.
+Stops may be lost, and an agent may be paused between two attempts at an order. Runs that their
+owner no longer renews must therefore end by themselves: the lease is never renewed beyond the time
+that the owners of all runs allow, and new starts are bound to the same lease.
 """
 
 from __future__ import annotations
@@ -10,13 +10,12 @@
 __all__ = ["MIN_LEASE_SHARE", "WorkerLease"]
 
 MIN_LEASE_SHARE = 0.5
-"""Share of a lease that is left enough for a start to join it in place of renewing it. A look
-renews the lease at least each 0.15 s of its 0.6 s; starts that renewed it went on doing so for
-0.3 s after a worker had fallen silent, and its tasks ran elsewhere that much later."""
+"""Share of the lease that must be left for a start to join it without a renewal. Renewals by starts
+would extend the lease of a worker that no longer answers, and delay restarts elsewhere."""
 
 
 class WorkerLease:
-    """The latest end that the worker was told. Times are the agent's steady clock, in seconds."""
+    """The latest lease end sent to the worker. Times are the agent's steady clock, in seconds."""
 
     def __init__(self, *, lease_s: float) -> None:
         self._lease_s = lease_s
@@ -24,11 +23,11 @@
 
     @property
     def ends_at(self) -> float:
-        """When the lease ends, by the latest call that may have arrived."""
+        """When the lease ends, if every call that was sent has arrived."""
         return self._ends_at
 
     def renew(self, *, now: float, limit: float) -> float | None:
-        """Return the end to ask for, ``limit`` at the latest, or None if that is no gain."""
+        """Extend the lease, up to ``limit``; return its new end, or None if it is not extended."""
         ends_at = min(now + self._lease_s, limit)
         if ends_at <= max(self._ends_at, now):
             return None
@@ -36,7 +35,7 @@
         return ends_at
 
     def join(self, *, now: float, limit: float) -> float | None:
-        """Return the end that a start carries, or None if it must not be carried out any more."""
+        """Return the lease end to send with a start, or None if the start must not be sent."""
         if limit <= now:
             return None
         if self._ends_at - now < MIN_LEASE_SHARE * self._lease_s:
--- a/dalemast/core/supervision/owner_leases.py
+++ b/dalemast/core/supervision/owner_leases.py
@@ -1,4 +1,4 @@
-"""Until when the owners of runs keep them alive, by their words."""
+"""Until when the owners of runs keep them alive."""
 
 from __future__ import annotations
 
@@ -10,30 +10,31 @@
 
 
 class OwnerLeases:
-    """The latest word of each owner. Times are the agent's steady clock, in seconds.
+    """The expiry of each owner's runs, renewed by its messages.
 
-    ``timeout_s`` is for how long a word counts from when it was said.
+    A message keeps an owner's runs alive for ``timeout_s`` from the time at which it was sent.
+    Times are readings of the agent's steady clock, in seconds.
     """
 
     def __init__(self, *, timeout_s: float) -> None:
         self._timeout_s = timeout_s
-        self._kept_until: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
 
     def renew(self, owner: str, *, sent_at: float) -> None:
-        """Note that an owner keeps its runs alive, but for those that were told to stop."""
-        kept_until = sent_at + self._timeout_s
-        self._kept_until[owner] = max(kept_until, self._kept_until.get(owner, kept_until))
+        """Extend the expiry of an owner's runs, except for runs that were told to stop."""
+        expires_at = sent_at + self._timeout_s
+        self._expires_at[owner] = max(expires_at, self._expires_at.get(owner, expires_at))
 
     def is_expired(self, sent_at: float, *, now: float) -> bool:
-        """Tell whether a word that was said then counts no longer."""
+        """Return whether a message sent at ``sent_at`` no longer keeps runs alive."""
         return now - sent_at > self._timeout_s
 
     def get_expiry(self, run: Run) -> float:
-        """Return until when a run's owner keeps it alive."""
-        if run.kept_until is not None:
-            return run.kept_until
-        return self._kept_until.get(run.request.owner, float("-inf"))
+        """Return until when the run is kept alive."""
+        if run.kept_alive_until is not None:
+            return run.kept_alive_until
+        return self._expires_at.get(run.request.owner, float("-inf"))
 
     def get_first_expiry(self, runs: Iterable[Run]) -> float:
-        """Return until when the owners of all these runs keep them alive."""
+        """Return the earliest expiry of these runs; infinity without any."""
         return min(map(self.get_expiry, runs), default=float("inf"))
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -1,12 +1,11 @@
-"""Preemption at the agent: which runs give way to more urgent work that finds no room.
+"""Preemption at the agent: which runs are stopped for more urgent work that finds no capacity.
 
-It answers a burst of long, less urgent tasks: they fill all workers, and short urgent jobs, which
-must begin within a tenth of a second, would wait for an end until they are late.
+When long, less urgent tasks fill all workers, short urgent jobs would wait for an end until they
+are late.
 
-What is taken is bounded. A run gives way only while its job can still be on time after it, before
-half of it is done, and only if that gains more than waiting for its end. Each priority keeps a
-share of the worker's cores, and of the work that is done here a share at most is thrown away. The
-words of owners are believed no further than that.
+Preemption is bounded whatever owners request. A run is preempted only if its job can still be on
+time, less than half of the run is done, and stopping it is faster than waiting for its end. Each
+priority keeps a share of the worker's cores, and only a small share of all work may be lost.
 """
 
 from __future__ import annotations
@@ -22,60 +21,61 @@
 __all__ = ["PreemptionBudget", "PreemptionReservations", "VictimChoice", "get_lost_core_s"]
 
 KEPT_SHARE = 0.25
-"""Share of a worker's cores that each priority keeps: with the usual three priorities each has a
-quarter for sure, and the most urgent work may take the last one."""
+"""Share of a worker's cores that each priority keeps under preemption."""
 LOST_SHARE = 0.01
-"""Share of the core-seconds of runs that end well which may be thrown away. Under overload other
-callers wait for that room, so all of them together pay no more than a hundredth of it, however
-urgent the others are."""
-SAVED_S = 5.0
-"""For how many seconds of a full worker that share may be saved up, so that a burst finds some."""
+"""Share of the core-seconds of successful runs that may be lost to preemption. Under overload other
+callers wait for this capacity, so the cost to them is bounded."""
+BUDGET_CAP_S = 5.0
+"""The budget saved up for a burst is at most that of a full worker in so many seconds."""
 PROGRESS_SHARE = 0.5
-"""Share of a run after which it does not give way: what is left is sooner done than done anew."""
-LEAST_GAIN = 2.0
-"""How many times the time of a stop a run must have left at least, so that stopping it gains."""
+"""Share of a run after which it is not preempted, since finishing it takes less than a restart."""
+MIN_GAIN = 2.0
+"""Minimum remaining time of a run that is preempted, as a multiple of the time a stop takes."""
 HOLD_S = 0.05
-"""How long room that was taken is kept for its owner: two messages and their turns on busy hosts.
-"""
-LONGEST_S = 1.0
-"""How long a takeover may last before it is given up: stops that get lost end with the lease."""
-FRESH_S = 0.25
-"""How old a wish may be, by when its owner last knew that it ran on. A later one is from a host
-that stands still or a link that was cut, and its job is late or has begun elsewhere."""
+"""How long freed capacity is reserved for its owner: enough for a report to the owner and its start
+to arrive from a busy host."""
+MAX_RESERVATION_S = 1.0
+"""Maximum duration of a reservation, since a stop may be lost."""
+MAX_REQUEST_AGE_S = 0.25
+"""Maximum age of a capacity request. An older one comes from a paused host or over a link that was
+cut, and its job is late or has started elsewhere."""
 
 
 def get_lost_core_s(run: Run, *, now: float) -> float:
-    """Return the work that is lost if a run is stopped now, in core-seconds."""
+    """Return the work that is lost if the run is stopped now, in core-seconds."""
     return max(now - run.started_at, 0.0) * run.request.resources.cpu / 1000
 
 
 class PreemptionBudget:
-    """How many core-seconds may be thrown away on one worker: a token bucket that its ends fill."""
+    """The core-seconds that may be lost to preemption on one worker.
+
+    This is a token bucket that successful runs refill.
+    """
 
     def __init__(self) -> None:
         self._core_s = 0.0
 
     @property
     def core_s(self) -> float:
-        """What may be thrown away now, in core-seconds."""
+        """The work that may be lost now, in core-seconds."""
         return self._core_s
 
-    def note_done(self, core_s: float, *, capacity_cpu: int) -> None:
-        """Note that a run has ended well after so much work."""
-        most = LOST_SHARE * SAVED_S * capacity_cpu / 1000
-        self._core_s = min(self._core_s + LOST_SHARE * core_s, max(most, 0.0))
+    def record_work(self, core_s: float, *, capacity_cpu: int) -> None:
+        """Record the work of a successful run."""
+        max_core_s = LOST_SHARE * BUDGET_CAP_S * capacity_cpu / 1000
+        self._core_s = min(self._core_s + LOST_SHARE * core_s, max(max_core_s, 0.0))
 
     def spend(self, core_s: float) -> None:
-        """Note that so much is thrown away."""
+        """Subtract work that is lost."""
         self._core_s -= core_s
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VictimChoice:
-    """Chooses the runs that give way. ``stop_s`` is the longest time that a stop takes.
+    """Chooses the runs that are preempted. ``stop_s`` is the maximum time that a stop takes.
 
-    ``free_cpu`` is what is free for the owner that wants room, ``capacity_cpu`` the worker's, both
-    in thousandths of a core. ``budget_core_s`` is what may be thrown away.
+    ``free_cpu`` is the capacity free for the requesting owner and ``capacity_cpu`` the worker's,
+    both in thousandths of a core. ``budget_core_s`` is the work that may be lost.
     """
 
     stop_s: float
@@ -83,23 +83,31 @@
     capacity_cpu: int
     budget_core_s: float
 
-    def choose(self, runs: Iterable[Run], want: Want, *, now: float) -> list[Run]:
-        """Return the runs that make room for one task together, or none if they can't.
+    def choose(self, runs: Iterable[Run], capacity_request: Want, *, now: float) -> list[Run]:
+        """Return the runs that together free enough capacity for one task, or none.
 
-        Those that lose the least work go first.
+        Runs that lose the least work are chosen first.
         """
-        needed = want.cpu - self.free_cpu
-        if want.preempts_from is None or want.preempts_from < 1 or needed <= 0:
+        needed = capacity_request.cpu - self.free_cpu
+        if (
+            capacity_request.preempts_from is None
+            or capacity_request.preempts_from < 1
+            or needed <= 0
+        ):
             return []
-        going = [run for run in runs if run.phase is not RunPhase.STOPPING]
-        fit = [run for run in going if self._may_give_way(run, want.preempts_from, now)]
-        fit.sort(key=lambda run: get_lost_core_s(run, now=now))
-        chosen = self._take_enough(fit, needed, spare_cpu=self._get_spare_cpu(going))
+        active = [run for run in runs if run.phase is not RunPhase.STOPPING]
+        candidates = [
+            run for run in active if self._is_preemptible(run, capacity_request.preempts_from, now)
+        ]
+        candidates.sort(key=lambda run: get_lost_core_s(run, now=now))
+        chosen = self._select_enough(
+            candidates, needed, preemptible_cpu=self._get_preemptible_cpu(active)
+        )
         lost_core_s = sum(get_lost_core_s(run, now=now) for run in chosen)
         return chosen if lost_core_s <= self.budget_core_s else []
 
-    def _may_give_way(self, run: Run, preempts_from: int, now: float) -> bool:
-        """Tell whether a run may give way. What can't be compared, such as NaN, says no."""
+    def _is_preemptible(self, run: Run, preempts_from: int, now: float) -> bool:
+        """Return whether a run may be preempted. Comparisons with NaN must yield False."""
         request = run.request
         if run.phase is not RunPhase.RUNNING or run.is_order_open or not run.was_listed:
             return False
@@ -110,30 +118,30 @@
         age_s = now - run.started_at
         total_s = _get_total_s(run)
         left_s = total_s - age_s
-        return age_s <= PROGRESS_SHARE * total_s and left_s > LEAST_GAIN * self.stop_s
+        return age_s <= PROGRESS_SHARE * total_s and left_s > MIN_GAIN * self.stop_s
 
-    def _get_spare_cpu(self, going: Iterable[Run]) -> dict[int, float]:
-        """Return what each priority has beyond the share that it keeps."""
+    def _get_preemptible_cpu(self, active: Iterable[Run]) -> dict[int, float]:
+        """Return by priority the used capacity beyond the share that it keeps."""
         used: Counter[int] = Counter()
-        for run in going:
+        for run in active:
             used[run.request.priority] += run.request.resources.cpu
         kept = KEPT_SHARE * self.capacity_cpu
         return {priority: cpu - kept for priority, cpu in used.items()}
 
-    def _take_enough(
-        self, fit: Iterable[Run], needed: int, *, spare_cpu: Mapping[int, float]
+    def _select_enough(
+        self, candidates: Iterable[Run], needed: int, *, preemptible_cpu: Mapping[int, float]
     ) -> list[Run]:
-        """Return the first runs that free enough, less those that are not needed for it."""
-        spare = dict(spare_cpu)
+        """Return the first runs that free enough, without those that turn out unnecessary."""
+        preemptible = dict(preemptible_cpu)
         chosen: list[Run] = []
         freed = 0
-        for run in fit:
+        for run in candidates:
             if freed >= needed:
                 break
             cpu = run.request.resources.cpu
-            if cpu <= 0 or cpu > spare[run.request.priority]:
+            if cpu <= 0 or cpu > preemptible[run.request.priority]:
                 continue
-            spare[run.request.priority] -= cpu
+            preemptible[run.request.priority] -= cpu
             chosen.append(run)
             freed += cpu
         if freed < needed:
@@ -147,113 +155,121 @@
 
 
 def _get_total_s(run: Run) -> float:
-    """Return a run's whole time: at its pace, or as expected while progress says little."""
-    if run.percent > 0 and run.seen_s >= MIN_AGE_S:
+    """Return a run's total time, estimated by progress if possible, else the expected time."""
+    if run.percent > 0 and run.observed_s >= MIN_AGE_S:
         return run.get_total_s()
     return run.request.expected_s
 
 
 @dataclass(kw_only=True, slots=True)
-class _Takeover:
-    """Room that is being made for an owner. ``until`` is when it is given up."""
+class _Reservation:
+    """Capacity that is being freed for an owner. ``until`` is when the reservation expires."""
 
     cpu: int
-    """What is wanted, in thousandths of a core; 0 once it is not wanted any more."""
+    """The requested capacity, in thousandths of a core; 0 once the request is withdrawn."""
     preempts_from: int
     victims: dict[RunId, int]
-    """The runs that have not ended yet, with their thousandths of a core."""
+    """The preempted runs that have not ended yet, with their thousandths of a core."""
     until: float
-    is_told: bool = False
-    """Whether its owner is being told that its room is free."""
+    is_reported: bool = False
+    """Whether the owner has been returned by ``take_ready``."""
 
     @property
-    def held_cpu(self) -> int:
-        """What is kept for the owner by now."""
+    def reserved_cpu(self) -> int:
+        """The capacity freed for the owner so far, in thousandths of a core."""
         return max(self.cpu - sum(self.victims.values()), 0)
 
 
 class PreemptionReservations:
-    """Room that is made for owners, one takeover each. Times are the agent's steady clock.
+    """Capacity that is freed for owners by preemption, at most one reservation for each.
 
-    What was freed is kept for its owner for a moment, or less urgent work would take it again.
+    Freed capacity is reserved for a short time, or less urgent work would use it again. Times are
+    readings of the agent's steady clock, in seconds.
     """
 
     def __init__(self) -> None:
-        self._open: dict[str, _Takeover] = {}
+        self._open: dict[str, _Reservation] = {}
 
     def __len__(self) -> int:
         return len(self._open)
 
     def has_open(self, owner: str) -> bool:
-        """Tell whether room is being made for an owner, or kept for it."""
+        """Return whether an owner has a reservation."""
         return owner in self._open
 
-    def begin(self, owner: str, want: Want, victims: Iterable[Run], *, now: float) -> None:
-        """Note that these runs are stopped for an owner."""
-        assert want.preempts_from is not None
-        self._open[owner] = _Takeover(
-            cpu=want.cpu,
-            preempts_from=want.preempts_from,
+    def begin(
+        self, owner: str, capacity_request: Want, victims: Iterable[Run], *, now: float
+    ) -> None:
+        """Add a reservation for an owner for which these runs are stopped."""
+        assert capacity_request.preempts_from is not None
+        self._open[owner] = _Reservation(
+            cpu=capacity_request.cpu,
+            preempts_from=capacity_request.preempts_from,
             victims={run.request.run_id: run.request.resources.cpu for run in victims},
-            until=now + LONGEST_S,
+            until=now + MAX_RESERVATION_S,
         )
 
     def note_end(self, run_id: RunId, *, now: float) -> None:
-        """Note that a run has surely ended; with the last one its owner is given a moment."""
-        for owner, takeover in list(self._open.items()):
-            if takeover.victims.pop(run_id, None) is None or takeover.victims:
+        """Record that a run has certainly ended. With the last one, the hold time begins."""
+        for owner, reservation in list(self._open.items()):
+            if reservation.victims.pop(run_id, None) is None or reservation.victims:
                 continue
-            takeover.until = now + HOLD_S
-            if takeover.cpu == 0:
+            reservation.until = now + HOLD_S
+            if reservation.cpu == 0:
                 del self._open[owner]
 
     def note_start(self, owner: str, priority: int) -> None:
-        """Note that an owner has begun a task; with an urgent one it has used its room."""
-        takeover = self._open.get(owner)
-        if takeover is not None and not takeover.victims and priority < takeover.preempts_from:
+        """Record a start by an owner; an urgent one uses up its reservation."""
+        reservation = self._open.get(owner)
+        if (
+            reservation is not None
+            and not reservation.victims
+            and priority < reservation.preempts_from
+        ):
             del self._open[owner]
 
-    def give_up(self, owner: str) -> bool:
-        """Note that an owner wants no room any more; return whether some was kept for it.
+    def cancel(self, owner: str) -> bool:
+        """Withdraw an owner's request; return whether capacity was reserved for it.
 
-        What is being stopped for it still counts as its takeover: no more is, should it ask again.
+        The reservation stays until its victims have ended, so that a new request by the owner does
+        not preempt further runs.
         """
-        takeover = self._open.get(owner)
-        if takeover is None or takeover.cpu == 0:
+        reservation = self._open.get(owner)
+        if reservation is None or reservation.cpu == 0:
             return False
-        takeover.cpu = 0
-        if not takeover.victims:
+        reservation.cpu = 0
+        if not reservation.victims:
             del self._open[owner]
         return True
 
     def clear(self) -> None:
-        """Note that the worker is another one."""
+        """Drop all reservations, since the incarnation of the worker has changed."""
         self._open.clear()
 
-    def drop_overdue(self, *, now: float) -> bool:
-        """Give up what its owner has not used in time; return whether there was any."""
-        overdue = [owner for owner, takeover in self._open.items() if now > takeover.until]
+    def drop_expired(self, *, now: float) -> bool:
+        """Drop reservations that were not used in time; return whether there were any."""
+        overdue = [owner for owner, reservation in self._open.items() if now > reservation.until]
         for owner in overdue:
             del self._open[owner]
         return bool(overdue)
 
-    def get_held_cpu(self, owner: str) -> int:
-        """Return what is kept from an owner for others, in thousandths of a core."""
-        return sum(t.held_cpu for other, t in self._open.items() if other != owner)
+    def get_reserved_cpu(self, owner: str) -> int:
+        """Return the capacity reserved for other owners, in thousandths of a core."""
+        return sum(t.reserved_cpu for other, t in self._open.items() if other != owner)
 
-    def get_held_from(self, owner: str, priority: int) -> int:
-        """Return what is kept from an owner's start of this priority."""
+    def get_cpu_reserved_from(self, owner: str, priority: int) -> int:
+        """Return the capacity reserved for others that a start of this priority must not use."""
         return sum(
-            takeover.held_cpu
-            for other, takeover in self._open.items()
-            if other != owner and priority >= takeover.preempts_from
+            reservation.reserved_cpu
+            for other, reservation in self._open.items()
+            if other != owner and priority >= reservation.preempts_from
         )
 
     def take_ready(self) -> list[str]:
-        """Return the owners whose room has become free since the last call."""
+        """Return the owners whose capacity has become free since the last call."""
         ready = []
-        for owner, takeover in self._open.items():
-            if not takeover.victims and not takeover.is_told:
-                takeover.is_told = True
+        for owner, reservation in self._open.items():
+            if not reservation.victims and not reservation.is_reported:
+                reservation.is_reported = True
                 ready.append(owner)
         return ready
--- a/dalemast/core/supervision/slow.py
+++ b/dalemast/core/supervision/slow.py
@@ -1,4 +1,4 @@
-"""Which runs crawl or stand still, so that their owners are told."""
+"""Detection of slow and stalled runs, which are reported to their owners."""
 
 from __future__ import annotations
 
@@ -7,19 +7,21 @@
 from dalemast.core.supervision.actions import ReportSlow
 from dalemast.core.supervision.runs import MIN_AGE_S, Run
 
-__all__ = ["judge_run"]
+__all__ = ["get_slow_report"]
 
 SLOW_FACTOR = 1.8
-"""How much longer than expected a run must be heading for before it is reported. Expected times
-are off by about 40 %, and workers differ by 1.25. The owner judges what to do."""
-SLOW_REPEAT_S = 0.3
-"""Pause between two reports on one run."""
+"""Ratio of a run's estimated total time to its expected time from which it is reported. It allows
+for errors of expected times and for usual differences between workers."""
+SLOW_REPORT_INTERVAL_S = 0.3
+"""Minimum interval between two reports on one run."""
 
 
-def judge_run(run: Run, *, get_worker_pace: Callable[[], float], now: float) -> ReportSlow | None:
+def get_slow_report(
+    run: Run, *, get_worker_pace: Callable[[], float], now: float
+) -> ReportSlow | None:
     """Return the report that is due on a run, if any."""
     age_s = now - run.started_at
-    if now - run.reported_at < SLOW_REPEAT_S or age_s < MIN_AGE_S:
+    if now - run.reported_at < SLOW_REPORT_INTERVAL_S or age_s < MIN_AGE_S:
         return None
     is_stalled = run.is_stalled(now)
     total_s = run.get_total_s()
--- a/dalemast/core/supervision/supervisor.py
+++ b/dalemast/core/supervision/supervisor.py
@@ -1,12 +1,11 @@
-"""The supervisor of one worker: pure decisions, fed by messages and a clock value.
+"""The supervisor of one worker: decisions without I/O, from messages and clock readings.
 
-It is the only caller of its worker, hence the one place where room is kept. Room counts as taken
-from the moment an order is given until the worker lists the run's end, or until the order's lease
-has ended on the worker's clock without the run being listed.
+Its agent is the worker's only caller, so this is the one place that accounts for capacity. Capacity
+counts as used from the order of a run until the worker lists the run's end, or until the order's
+lease has ended on the worker's clock without the run being listed.
 
-A run is kept alive by its owner's words, each for as long as the agent's patience. The worker's
-lease follows the run whose owner has been silent for longest, so that a run ends by itself even if
-every stop gets lost.
+Each message of an owner keeps its runs alive for the owner timeout. The worker's lease follows the
+run with the earliest expiry, so that runs end by themselves even if every stop is lost.
 """
 
 from __future__ import annotations
@@ -40,32 +39,33 @@
 from dalemast.core.supervision.leases import MIN_LEASE_SHARE
 from dalemast.core.supervision.owner_leases import OwnerLeases
 from dalemast.core.supervision.preemption import (
-    FRESH_S,
+    MAX_REQUEST_AGE_S,
     PreemptionBudget,
     PreemptionReservations,
     VictimChoice,
     get_lost_core_s,
 )
 from dalemast.core.supervision.runs import Run, RunPhase, estimate_min_pace
-from dalemast.core.supervision.slow import judge_run
+from dalemast.core.supervision.slow import get_slow_report
 from dalemast.core.supervision.speeds import SpeedRecord
 from dalemast.core.workloads import Resources
 
 __all__ = ["Supervisor", "SupervisorLimits"]
 
 STOP_MARGIN_S = 0.03
-"""Added to the time of a stop for the worker's clock and the way of its answer."""
+"""Added to the time of a stop, for clock error and the delay of its answer, in seconds."""
 GONE_AFTER_S = 0.25
-"""How long after its order was answered a run may be missing from the worker's list, and from
-the ends, before it is taken as over. Answers on other connections can be overtaken by this much."""
+"""How long after its start a run may be missing from the worker's lists before it counts as ended,
+in seconds, since answers on different connections may arrive out of order."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SupervisorLimits:
-    """``owner_timeout_s``: an owner's runs are stopped when it is silent for longer.
+    """Time limits of a supervisor, in seconds.
 
-    ``lease_s`` is how long the worker runs on after its agent's last word, and ``stop_s`` the
-    longest time that a stop takes on it.
+    An owner's runs are stopped ``owner_timeout_s`` after it sent its last message. All runs end
+    ``lease_s`` after the agent last renewed the lease. ``stop_s`` is the maximum time that a stop
+    takes.
     """
 
     owner_timeout_s: float
@@ -74,163 +74,168 @@
 
 
 class Supervisor:
-    """Keeps one worker's room and runs. Every method returns the actions that follow."""
+    """Manages one worker's capacity and runs. Methods that handle an event return the actions."""
 
     def __init__(self, *, limits: SupervisorLimits, policy: LoadPolicy = NOTHING_ASKED) -> None:
         self._limits = limits
         self._policy = policy
-        self._lives = WorkerIncarnations()
+        self._incarnations = WorkerIncarnations()
         self._acceptance = Acceptance()
         self._runs: dict[RunId, Run] = {}
         self._used = Resources()
-        """What the runs take together; summing it up anew for each report to each owner took 4 % of
-        an agent's processor time."""
-        self._strays: set[RunId] = set()
+        """The resources used by all runs, kept up to date because summing them up for each report
+        is slow."""
+        self._orphaned_runs: set[RunId] = set()
         self._health = WorkerHealth()
         self._speeds = SpeedRecord()
-        self._speeds_life = ""
-        """The life of the worker whose speed is recorded."""
-        self._words = OwnerLeases(timeout_s=limits.owner_timeout_s)
+        self._speeds_incarnation_id = ""
+        """Id of the incarnation whose speed is recorded."""
+        self._owner_leases = OwnerLeases(timeout_s=limits.owner_timeout_s)
         self._budget = PreemptionBudget()
-        self._takeovers = PreemptionReservations()
+        self._reservations = PreemptionReservations()
         self._departures = DepartureWatch()
-        self._has_looked = False
+        self._has_polled = False
         self._has_settled = False
 
     @property
     def incarnation(self) -> WorkerIncarnation | None:
-        """The worker's life, once it has reported."""
-        return self._lives.current
+        """The worker's current incarnation, once it has reported."""
+        return self._incarnations.current
 
     @property
     def runs(self) -> dict[RunId, Run]:
-        """What runs or was ordered."""
+        """The runs that were ordered and have not ended."""
         return self._runs
 
     @property
     def orphaned_runs(self) -> frozenset[RunId]:
-        """What runs on the worker that this life of the agent does not know."""
-        return frozenset(self._strays)
+        """Runs on the worker that this incarnation of the agent did not order."""
+        return frozenset(self._orphaned_runs)
 
     @property
     def health(self) -> WorkerHealth:
-        """Whether the worker is trusted."""
+        """The worker's health, by how its runs ended."""
         return self._health
 
     @property
     def budget_core_s(self) -> float:
-        """What may be thrown away for more urgent work now, in core-seconds."""
+        """The work that may be lost to preemption now, in core-seconds."""
         return self._budget.core_s
 
     @property
     def reservations(self) -> PreemptionReservations:
-        """The room that is being made for owners, or kept for them."""
-        return self._takeovers
+        """The capacity that is freed or reserved for owners by preemption."""
+        return self._reservations
 
     @property
     def speeds(self) -> SpeedRecord:
-        """How fast this life of the worker is, by the runs of all owners."""
+        """The speed of this incarnation of the worker, by the runs of all owners."""
         return self._speeds
 
     @property
     def has_work(self) -> bool:
-        """Whether the worker has to be looked at: something runs, or nobody knows yet."""
+        """Whether the worker must be polled: something runs, or its state is not known."""
         acceptance = self._acceptance
-        if self._lives.claimant is not None or acceptance.is_silent or acceptance.is_ending:
+        if (
+            self._incarnations.claimant is not None
+            or acceptance.is_unresponsive
+            or acceptance.is_ending
+        ):
             return True
-        return bool(self._runs or self._strays or not self._has_looked)
+        return bool(self._runs or self._orphaned_runs or not self._has_polled)
 
     @property
     def lease_s(self) -> float:
-        """How long the worker runs on after its agent's last word, in seconds."""
+        """How long runs continue after the last renewal of the lease, in seconds."""
         return self._limits.lease_s
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the worker has said that it leaves, so that its end is no crash."""
+        """Whether the worker has reported that it leaves, so that its end is not a crash."""
         return self._acceptance.is_ending or (
             self.incarnation is not None and self.incarnation.is_leaving
         )
 
     @property
     def is_idle(self) -> bool:
-        """Whether no owner's run is left."""
+        """Whether there are no runs."""
         return not self._runs
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing runs on the worker that this life of the agent does not know."""
-        return self.incarnation is not None and self._has_looked and not self._strays
+        """Whether the worker has been polled and runs nothing that the agent did not order."""
+        return self.incarnation is not None and self._has_polled and not self._orphaned_runs
 
     @property
     def has_settled(self) -> bool:
-        """Whether nothing unknown has run there at some moment since the worker was met.
+        """Whether the worker has been settled at some time since it was registered.
 
-        Owners take it from the agent that a run which it does not list is over. So a new life of an
-        agent keeps its worker to itself until it has looked, which also bars the orders that its
-        last life left under way by a higher fencing token, and until all strays have ended. A stray
-        that begins later is none of the runs that owners still count on.
+        Owners treat a run that the agent does not list as ended. So a restarted agent does not
+        offer its worker until its first poll, whose higher fencing token also invalidates orders
+        that were still being sent, and until all orphaned runs have ended. Orphaned runs that begin
+        later are none that owners still count on.
         """
         return self.incarnation is not None and self._has_settled
 
     def get_free(self) -> Resources:
-        """Return what is free on the worker."""
-        incarnation = self._lives.current
+        """Return the free capacity of the worker."""
+        incarnation = self._incarnations.current
         return Resources() if incarnation is None else incarnation.capacity - self._used
 
     def get_free_for(self, owner: str) -> Resources:
-        """Return what an owner may count on: what is free, less what is kept for others."""
-        return self.get_free() - Resources(cpu=self._takeovers.get_held_cpu(owner))
+        """Return the free capacity without what is reserved for other owners."""
+        return self.get_free() - Resources(cpu=self._reservations.get_reserved_cpu(owner))
 
     def get_remaining_s(self, *, now: float) -> float | None:
-        """Return the least time that the worker has left, in seconds; None if it stays."""
+        """Return the minimum time until the worker ends, in seconds; None if it stays."""
         return self._departures.get_remaining_s(now=now)
 
     def get_pace(self) -> float:
-        """Return how slow the jobs that run show the worker to be, or 0 if they are too few."""
+        """Return a lower estimate of the worker's pace from its runs, or 0 if they are too few."""
         return estimate_min_pace(self._runs.values())
 
     def get_releases(self, *, now: float) -> tuple[ComingRoom, ...]:
-        """Return when room comes free for starts, soonest first."""
+        """Return the expected capacity releases, soonest first."""
         return list_releases(self._runs.values(), now=now) if self.is_accepting(now=now) else ()
 
     def is_accepting(self, *, now: float) -> bool:
-        """Tell whether starts are taken."""
+        """Return whether starts are accepted."""
         if self.incarnation is None or not self._acceptance.allows(self.incarnation):
             return False
         if not self.is_settled:
             return False
         if self.get_lease_limit() - now < MIN_LEASE_SHARE * self._limits.lease_s:
-            # Something can't be stopped, so all that runs there may soon end with the lease.
+            # The lease can't be renewed because of a run that does not stop, so all runs may end
+            # with it soon.
             return False
         return self._health.may_start(running=len(self._runs), now=now)
 
     def get_lease_limit(self) -> float:
-        """Return until when the worker may be told to run on; minus infinity is not at all.
+        """Return until when the worker's lease may be renewed; minus infinity if not at all.
 
-        What this life of the agent does not know may have an owner that counts it as over.
+        Orphaned runs must not be renewed: their owners may count them as ended.
         """
         if not self.is_settled or self._acceptance.is_ending:
             return float("-inf")
-        return self._words.get_first_expiry(self._runs.values()) + self._limits.lease_s
+        return self._owner_leases.get_first_expiry(self._runs.values()) + self._limits.lease_s
 
     def get_order_limit(self, run_id: RunId) -> float:
-        """Return the same for a start; minus infinity once the run is not wanted any more."""
+        """Return the lease limit for a start; minus infinity once the run must not start."""
         run = self._runs.get(run_id)
         if run is None or run.phase is not RunPhase.ORDERED:
             return float("-inf")
         return self.get_lease_limit()
 
     def register_incarnation(self, incarnation: WorkerIncarnation, *, now: float) -> list[Action]:
-        """Take in a worker's account of itself. With a new life, all that ran is over.
+        """Apply a report of the worker.
 
-        While another life is known, it stays until the worker has shown which of the two is there.
+        A known incarnation is kept until an answer of the worker shows which of the two is running.
         """
         known = self.incarnation
-        if not self._lives.meet(incarnation, now=now):
+        if not self._incarnations.register(incarnation, now=now):
             return []
         if known is None:
-            return [*self._begin_life(), *self._watch_departure(incarnation, now)]
+            return [*self._begin_incarnation(), *self._watch_departure(incarnation, now)]
         has_changed = (known.is_leaving, known.capacity) != (
             incarnation.is_leaving,
             incarnation.capacity,
@@ -239,92 +244,94 @@
         return [*changes, *self._watch_departure(incarnation, now)]
 
     def lose_incarnation(self, *, is_over: bool, is_refused: bool = False) -> list[Action]:
-        """Note that the worker is gone: its process ended, so nothing runs there.
+        """Give up the current incarnation, and with it all runs.
 
-        ``is_over`` tells that this life can't come back: it said that it ends, or another life
-        answers in its place. One that is only out of reach may report again. ``is_refused`` tells
-        that nothing listens in its place.
+        ``is_over`` tells that it can't come back, since another incarnation answers in its place;
+        one that is only unreachable may report again. ``is_refused`` tells that connections to its
+        address are refused.
         """
-        has_said_so = self._acceptance.is_ending
-        reason = self._explain_loss(is_process_gone=is_over or is_refused)
-        claimant = self._lives.lose(is_over=is_over, has_said_so=has_said_so)
-        self._strays.clear()
+        has_deregistered = self._acceptance.is_ending
+        reason = self._get_loss_reason(is_process_gone=is_over or is_refused)
+        claimant = self._incarnations.lose(is_over=is_over, has_deregistered=has_deregistered)
+        self._orphaned_runs.clear()
         self._departures.begin_incarnation()
         self._acceptance.is_ending = False
-        self._acceptance.is_silent = False
+        self._acceptance.is_unresponsive = False
         actions = [*self._end_all(reason), ReportCapacity()]
         if claimant is not None:
-            actions += self._begin_life()
+            actions += self._begin_incarnation()
         return actions
 
-    def end_incarnation(self, life_id: str) -> list[Action]:
-        """Take in a life's word that it ends.
+    def end_incarnation(self, incarnation_id: str) -> list[Action]:
+        """Handle the deregistration of an incarnation.
 
-        It may run on for some seconds, with what runs there: that is over once the worker refuses
-        connections or its lease, which is renewed no more, has lapsed.
+        The worker and its runs may continue for some seconds. They have ended once it refuses
+        connections or once its lease, which is no longer renewed, has ended.
         """
-        if self.incarnation is None or self.incarnation.id != life_id:
-            self._lives.bar(life_id)
+        if self.incarnation is None or self.incarnation.id != incarnation_id:
+            self._incarnations.mark_ended(incarnation_id)
             return []
         self._acceptance.is_ending = True
         return [ReportCapacity()]
 
-    def restore_incarnation(self, life_id: str) -> bool:
-        """Take a life's word back that it ends, since it was another writer's.
+    def restore_incarnation(self, incarnation_id: str) -> bool:
+        """Undo a deregistration that another process sent; return whether it had been applied.
 
-        Return whether it had been believed. The life's own reports and answers tell the rest.
+        The incarnation itself is registered again by its own reports.
         """
-        if self.incarnation is not None and self.incarnation.id == life_id:
+        if self.incarnation is not None and self.incarnation.id == incarnation_id:
             was_ending = self._acceptance.is_ending
             self._acceptance.is_ending = False
             return was_ending
-        return self._lives.restore(life_id)
+        return self._incarnations.restore(incarnation_id)
 
     def drain(self) -> list[Action]:
-        """Take no more starts."""
+        """Accept no further starts."""
         self._acceptance.is_draining = True
         return [ReportCapacity()]
 
     def set_evacuated(self, data_centres: frozenset[str]) -> list[Action]:
-        """Take no starts while the worker is in one of these data centres; what runs goes on."""
+        """Accept no starts while the worker is in one of these data centres; runs continue."""
         self._acceptance.evacuated = data_centres
         return [ReportCapacity()]
 
     def note_unresponsive(self) -> list[Action]:
-        """Take no starts until the worker answers a look."""
-        self._acceptance.is_silent = True
+        """Accept no starts until the worker answers a poll."""
+        self._acceptance.is_unresponsive = True
         return [ReportCapacity()]
 
     def start(self, request: StartRequest, *, now: float) -> list[Action]:
-        """Take an owner's start, or say that it was not taken."""
+        """Order the start of an owner's task, or report that it was refused."""
         known = self._runs.get(request.run_id)
         if known is not None and known.request.is_same(request):
             return []
-        if known is not None or self._words.is_expired(request.sent_at, now=now):
-            # A run of this name is one of the job's earlier submission, which is about to end.
+        if known is not None or self._owner_leases.is_expired(request.sent_at, now=now):
+            # A known run with this id belongs to an earlier submission of the job and ends soon.
             return [self._refuse(request, EndReason.NOT_TAKEN), ReportCapacity()]
         self.renew_owner(request.owner, sent_at=request.sent_at)
         if not self.is_accepting(now=now):
             return [self._refuse(request, EndReason.NOT_TAKEN), ReportCapacity()]
-        held = Resources(cpu=self._takeovers.get_held_from(request.owner, request.priority))
+        held = Resources(
+            cpu=self._reservations.get_cpu_reserved_from(request.owner, request.priority)
+        )
         if not request.resources.fits(self.get_free() - held):
             return [self._refuse(request, EndReason.NO_ROOM), ReportCapacity()]
         self._runs[request.run_id] = Run(request=request, ordered_at=now)
         self._used += request.resources
-        self._takeovers.note_start(request.owner, request.priority)
+        self._reservations.note_start(request.owner, request.priority)
         return [OrderStart(request=request), ReportCapacity()]
 
     def handle_start_outcome(
         self, run_id: RunId, outcome: StartOutcome, *, now: float, expires_at: float
     ) -> list[Action]:
-        """Take in what became of an order. ``expires_at`` is when it can no longer be done."""
+        """Handle the outcome of an order, which can't be executed after ``expires_at``."""
         run = self._runs.get(run_id)
         if run is None or not run.is_order_open:
             return []
         run.is_order_open = False
         if run.phase is not RunPhase.ORDERED:
             if run.phase is RunPhase.STOPPING and outcome is StartOutcome.UNANSWERED:
-                # It may begin yet, however long ago it was told to stop.
+                # It may still begin, however long ago its stop was ordered.
                 run.expires_at = expires_at
             return []
         if outcome is StartOutcome.RUNNING:
@@ -334,41 +341,48 @@
             run.progressed_at = now
             return []
         if outcome is StartOutcome.UNANSWERED:
-            self._health.note_failed(run_id.job_id, now=now)
+            self._health.record_failure(run_id.job_id, now=now)
             self._begin_stop(run, now)
             run.expires_at = expires_at
             return [OrderStop(run_id=run_id), ReportCapacity()]
         if outcome is StartOutcome.NOT_LISTENING:
-            # Until a look finds the worker there, or gone: others would be turned away one by one.
-            self._acceptance.is_silent = True
+            # Refuse further starts until a poll shows whether the worker is running.
+            self._acceptance.is_unresponsive = True
             return self._end(run, EndReason.NOT_TAKEN, now)
-        if outcome in (StartOutcome.REJECTED, StartOutcome.WRONG_LIFE, StartOutcome.FENCED):
-            self._health.note_failed(run_id.job_id, now=now)
+        if outcome in (StartOutcome.REJECTED, StartOutcome.WRONG_INCARNATION, StartOutcome.FENCED):
+            self._health.record_failure(run_id.job_id, now=now)
             return self._end(run, EndReason.NOT_TAKEN, now)
         if outcome is StartOutcome.RUN_USED:
-            # An earlier try of this order may have been carried out unanswered, and its run may
-            # have ended since: the next look tells how, if it did.
+            # An earlier attempt at this order may have been executed without an answer, and its
+            # run may have ended since. The next poll shows how it ended.
             self._begin_stop(run, now)
             run.expires_at = now
             return []
         return self._end(run, EndReason.NO_ROOM, now)
 
     def stop(self, run_id: RunId, *, owner: str, now: float) -> list[Action]:
-        """Stop a run at its owner's wish; another owner may have one of the same name."""
+        """Stop a run for its owner. A run with the same id may belong to another owner."""
         run = self._runs.get(run_id)
         if run is None or run.request.owner != owner or run.phase is RunPhase.STOPPING:
             return []
         return [self._begin_stop(run, now)]
 
-    def preempt(self, owner: str, want: Want, *, sent_at: float, now: float) -> list[Action]:
-        """Stop less urgent runs for a job that finds no room, if that is worth what is lost.
+    def preempt(
+        self, owner: str, capacity_request: Want, *, sent_at: float, now: float
+    ) -> list[Action]:
+        """Stop less urgent runs for an owner's capacity request, within the bounds of preemption.
 
-        ``sent_at`` is when the owner said so at the earliest, by this agent's steady clock.
+        ``sent_at`` is the earliest time at which the owner may have sent the request, by the
+        agent's steady clock in seconds.
         """
-        incarnation = self._lives.current
-        if incarnation is None or not self.is_accepting(now=now) or self._takeovers.has_open(owner):
+        incarnation = self._incarnations.current
+        if (
+            incarnation is None
+            or not self.is_accepting(now=now)
+            or self._reservations.has_open(owner)
+        ):
             return []
-        if not now - sent_at <= FRESH_S:
+        if not now - sent_at <= MAX_REQUEST_AGE_S:
             return []
         choice = VictimChoice(
             stop_s=self._limits.stop_s,
@@ -376,25 +390,25 @@
             capacity_cpu=incarnation.capacity.cpu,
             budget_core_s=self._budget.core_s,
         )
-        victims = choice.choose(self._runs.values(), want, now=now)
+        victims = choice.choose(self._runs.values(), capacity_request, now=now)
         if not victims:
             return []
-        self._takeovers.begin(owner, want, victims, now=now)
-        return [self._preempt_run(run, want, now) for run in victims]
+        self._reservations.begin(owner, capacity_request, victims, now=now)
+        return [self._preempt_run(run, capacity_request, now) for run in victims]
 
     def withdraw_request(self, owner: str) -> list[Action]:
-        """Note that an owner wants no room any more, so that others get what was kept for it."""
-        return [ReportCapacity()] if self._takeovers.give_up(owner) else []
+        """Withdraw an owner's capacity request, so that others may use what was reserved."""
+        return [ReportCapacity()] if self._reservations.cancel(owner) else []
 
     def handle_stop_response(self, run_id: RunId, *, now: float) -> list[Action]:
-        """Note that the worker answered a stop.
+        """Handle the worker's answer to a stop.
 
-        A run that was never listed can't begin any more. It may be going, though, and then it ends
+        A run that was never listed can't begin any more. If it is running all the same, it ends
         within the time that a stop takes.
         """
         run = self._runs.get(run_id)
         if run is not None and run.expires_at is not None and not run.was_listed:
-            run.barred_at = now + self._limits.stop_s + STOP_MARGIN_S
+            run.certain_end_at = now + self._limits.stop_s + STOP_MARGIN_S
         return []
 
     def handle_poll(
@@ -405,61 +419,61 @@
         asked_at: float,
         now: float,
     ) -> list[Action]:
-        """Take in the worker's lists, as they were after ``asked_at``."""
-        was_ready = self.is_settled and not self._acceptance.is_silent
-        self._acceptance.is_silent = False
-        self._lives.confirm(asked_at=asked_at)
+        """Apply the worker's lists of runs from the answer to a poll sent at ``asked_at``."""
+        could_start = self.is_settled and not self._acceptance.is_unresponsive
+        self._acceptance.is_unresponsive = False
+        self._incarnations.confirm(asked_at=asked_at)
         actions: list[Action] = []
         for end in ended:
-            actions += self._see_end(end, now)
+            actions += self._handle_end(end, now)
         listed = set()
         for row in running:
             listed.add(row.run_id)
-            actions += self._see_running(row, now)
-        self._strays &= listed
-        self._has_looked = True
+            actions += self._handle_listed(row, now)
+        self._orphaned_runs &= listed
+        self._has_polled = True
         self._has_settled |= self.is_settled
-        if self.is_settled and not was_ready:
-            # From now on starts are taken, and owners hear of it by the report alone.
+        if self.is_settled and not could_start:
+            # Starts are accepted from now on. Without this report, owners would not learn of it.
             actions.append(ReportCapacity())
         for run in self._runs.values():
             if run.phase is RunPhase.RUNNING:
-                actions += self._judge_pace(run, now)
+                actions += self._check_pace(run, now)
         actions += self._departures.review(self._runs.values(), now=now)
         for run in list(self._runs.values()):
             if run.request.run_id not in listed:
-                actions += self._see_missing(run, asked_at, now)
+                actions += self._handle_unlisted(run, asked_at, now)
         return actions
 
     def renew_owner(self, owner: str, *, sent_at: float) -> None:
-        """Note that an owner keeps its runs alive, but for those that were told to stop."""
-        self._words.renew(owner, sent_at=sent_at)
+        """Extend the expiry of an owner's runs, except for runs that were told to stop."""
+        self._owner_leases.renew(owner, sent_at=sent_at)
 
     def reset_departure_reports(self, owner: str) -> None:
-        """Let an owner that was just met be told anew of runs that are cut short."""
+        """Report runs at risk again to an owner that has just connected."""
         for run in self._runs.values():
             if run.request.owner == owner:
-                run.told_cut = None
+                run.reported_risk = None
 
     def get_owner_runs(self, owner: str) -> list[RunId]:
-        """Return the runs of one owner."""
+        """Return the ids of one owner's runs."""
         return [run_id for run_id, run in self._runs.items() if run.request.owner == owner]
 
     def tick(self, *, now: float) -> list[Action]:
-        """Stop the runs of owners that fell silent; end those that are barred."""
+        """Stop runs whose owner has timed out, and end those that have certainly ended."""
         actions: list[Action] = []
         for run in list(self._runs.values()):
-            if run.barred_at is not None and now >= run.barred_at and not run.was_listed:
+            if run.certain_end_at is not None and now >= run.certain_end_at and not run.was_listed:
                 actions += self._end(run, EndReason.STOPPED, now)
         for run in self._runs.values():
-            if run.phase is not RunPhase.STOPPING and now > self._words.get_expiry(run):
+            if run.phase is not RunPhase.STOPPING and now > self._owner_leases.get_expiry(run):
                 actions.append(self._begin_stop(run, now))
-        if self._takeovers.drop_overdue(now=now):
+        if self._reservations.drop_expired(now=now):
             actions.append(ReportCapacity())
         return actions
 
     def get_unstopped(self, *, now: float, older_than_s: float) -> list[RunId]:
-        """Return runs that were told to stop and are still listed, so that it is said again."""
+        """Return runs that were told to stop longer ago than this and have not ended."""
         return [
             run_id
             for run_id, run in self._runs.items()
@@ -467,15 +481,15 @@
         ]
 
     def _begin_stop(self, run: Run, now: float) -> OrderStop:
-        """Tell a run to stop. From now on its owner's words keep it alive no longer."""
-        run.kept_until = self._words.get_expiry(run)
+        """Begin to stop a run. From now on its owner's messages no longer extend its expiry."""
+        run.kept_alive_until = self._owner_leases.get_expiry(run)
         run.phase = RunPhase.STOPPING
         run.stopping_since = now
         return OrderStop(run_id=run.request.run_id)
 
-    def _preempt_run(self, run: Run, want: Want, now: float) -> PreemptRun:
-        """Tell a run to give way. It counts as going until the worker has shown that it ended."""
-        assert want.preempts_from is not None
+    def _preempt_run(self, run: Run, capacity_request: Want, now: float) -> PreemptRun:
+        """Preempt a run. It counts as running until the worker has listed its end."""
+        assert capacity_request.preempts_from is not None
         self._begin_stop(run, now)
         run.is_preempted = True
         lost_core_s = get_lost_core_s(run, now=now)
@@ -483,15 +497,15 @@
         return PreemptRun(
             run_id=run.request.run_id,
             priority=run.request.priority,
-            preempts_from=want.preempts_from,
+            preempts_from=capacity_request.preempts_from,
             age_s=now - run.started_at,
             lost_core_s=lost_core_s,
         )
 
-    def _see_running(self, row: ListedRun, now: float) -> list[Action]:
+    def _handle_listed(self, row: ListedRun, now: float) -> list[Action]:
         run = self._runs.get(row.run_id)
         if run is None:
-            self._strays.add(row.run_id)
+            self._orphaned_runs.add(row.run_id)
             return [OrderStop(run_id=row.run_id)]
         run.listed_at = now
         run.has_begun = True
@@ -503,42 +517,42 @@
             run.progressed_at = now
         return []
 
-    def _judge_pace(self, run: Run, now: float) -> list[Action]:
-        report = judge_run(run, get_worker_pace=self.get_pace, now=now)
+    def _check_pace(self, run: Run, now: float) -> list[Action]:
+        report = get_slow_report(run, get_worker_pace=self.get_pace, now=now)
         if report is None:
             return []
         if report.is_stalled:
-            self._health.note_failed(report.run_id.job_id, now=now)
+            self._health.record_failure(report.run_id.job_id, now=now)
         return [report]
 
-    def _see_missing(self, run: Run, asked_at: float, now: float) -> list[Action]:
+    def _handle_unlisted(self, run: Run, asked_at: float, now: float) -> list[Action]:
         if run.expires_at is not None:
             return self._end(run, EndReason.STOPPED, now) if asked_at > run.expires_at else []
         if run.is_order_open or asked_at - run.started_at < GONE_AFTER_S:
             return []
         return self._end(run, EndReason.STOPPED, now)
 
-    def _see_end(self, end: EndedRun, now: float) -> list[Action]:
-        self._strays.discard(end.run_id)
+    def _handle_end(self, end: EndedRun, now: float) -> list[Action]:
+        self._orphaned_runs.discard(end.run_id)
         run = self._runs.get(end.run_id)
         if run is None:
             return []
         if end.reason is EndReason.DONE:
-            self._health.note_done()
-            self._note_work(run, now)
-            self._learn_speed(run, now)
+            self._health.record_success()
+            self._record_work(run, now)
+            self._record_speed(run, now)
         elif end.reason is EndReason.FAILED:
-            self._health.note_failed(end.run_id.job_id, now=now)
+            self._health.record_failure(end.run_id.job_id, now=now)
         return self._end(run, end.reason, now)
 
-    def _note_work(self, run: Run, now: float) -> None:
-        """Count work that ended well: a share of it may be thrown away for more urgent work."""
-        incarnation = self._lives.current
+    def _record_work(self, run: Run, now: float) -> None:
+        """Record successful work, a share of which may be lost to preemption."""
+        incarnation = self._incarnations.current
         if incarnation is not None:
             core_s = get_lost_core_s(run, now=now)
-            self._budget.note_done(core_s, capacity_cpu=incarnation.capacity.cpu)
+            self._budget.record_work(core_s, capacity_cpu=incarnation.capacity.cpu)
 
-    def _learn_speed(self, run: Run, now: float) -> None:
+    def _record_speed(self, run: Run, now: float) -> None:
         request = run.request
         job_id = request.run_id.job_id
         run_s = now - run.started_at
@@ -548,56 +562,61 @@
         request = run.request
         del self._runs[request.run_id]
         self._used -= request.resources
-        self._takeovers.note_end(request.run_id, now=now)
+        self._reservations.note_end(request.run_id, now=now)
         report = ReportEnd(
             owner=request.owner,
             run_id=request.run_id,
-            reason=_name_end(run, reason),
+            reason=_get_end_reason(run, reason),
             run_s=now - run.started_at,
         )
         return [report, ReportCapacity()]
 
     def _watch_departure(self, incarnation: WorkerIncarnation, now: float) -> list[Action]:
-        """Tell owners when the worker leaves, and which of their runs it can't end."""
+        """Return the reports due on when the worker leaves and which runs are at risk."""
         if not self._policy.plans_departures:
             return []
-        told = self._departures.meet(incarnation, now=now)
+        reported = self._departures.update(incarnation, now=now)
         if not incarnation.is_leaving:
-            # Owners forget what is cut short, and are told anew if it leaves after all.
+            # Owners discard their records of runs at risk, so all are reported again if the
+            # worker leaves after all.
             for run in self._runs.values():
-                run.told_cut = None
-        return [*told, *self._departures.review(self._runs.values(), now=now)]
+                run.reported_risk = None
+        return [*reported, *self._departures.review(self._runs.values(), now=now)]
 
-    def _begin_life(self) -> list[Action]:
-        """Start over with a life of which nothing is known yet, or that was out of reach."""
+    def _begin_incarnation(self) -> list[Action]:
+        """Reset the state for an incarnation that is new or was unreachable."""
         incarnation = self.incarnation
-        if incarnation is not None and incarnation.id != self._speeds_life:
+        if incarnation is not None and incarnation.id != self._speeds_incarnation_id:
             self._speeds = SpeedRecord()
-            self._speeds_life = incarnation.id
+            self._speeds_incarnation_id = incarnation.id
         self._health = WorkerHealth()
-        self._takeovers.clear()
-        self._strays.clear()
-        self._has_looked = False
+        self._reservations.clear()
+        self._orphaned_runs.clear()
+        self._has_polled = False
         self._has_settled = False
-        self._acceptance.is_silent = False
+        self._acceptance.is_unresponsive = False
         return [ReportCapacity()]
 
-    def _explain_loss(self, *, is_process_gone: bool) -> EndReason:
-        """Return how the runs ended that a lost life had.
+    def _get_loss_reason(self, *, is_process_gone: bool) -> EndReason:
+        """Return the reason with which the runs of a lost incarnation end.
 
-        One that is only silent may be cut off, and one that leaves ends as it was planned to.
+        Only a worker whose process is gone has crashed. An unresponsive one may be unreachable, and
+        one that leaves ends as planned.
         """
         return EndReason.CRASHED if is_process_gone and not self.is_leaving else EndReason.STOPPED
 
     def _end_all(self, reason: EndReason) -> list[Action]:
         ends: list[Action] = [
             ReportEnd(
-                owner=run.request.owner, run_id=run_id, reason=_name_end(run, reason), run_s=0.0
+                owner=run.request.owner,
+                run_id=run_id,
+                reason=_get_end_reason(run, reason),
+                run_s=0.0,
             )
             for run_id, run in self._runs.items()
         ]
         self._runs.clear()
-        self._takeovers.clear()
+        self._reservations.clear()
         self._used = Resources()
         return ends
 
@@ -605,8 +624,8 @@
         return ReportEnd(owner=request.owner, run_id=request.run_id, reason=reason, run_s=0.0)
 
 
-def _name_end(run: Run, reason: EndReason) -> EndReason:
-    """Return how a run ended; one that ended otherwise before its stop did so that way."""
+def _get_end_reason(run: Run, reason: EndReason) -> EndReason:
+    """Return a run's end reason, which is PREEMPTED if it was stopped by a preemption."""
     if run.is_preempted and reason is EndReason.STOPPED:
         return EndReason.PREEMPTED
     return reason
--- a/dalemast/emulator/simulation.py
+++ b/dalemast/emulator/simulation.py
@@ -482,7 +482,7 @@
         told: list[CapacitySubscriber] = []
         for owner, audience in self._list_in_turn():
             pause_s = self._get_pause_s(owner)
-            if not audience.take_due(now=now, pause_s=pause_s):
+            if not audience.take_due(now=now, interval_s=pause_s):
                 continue
             told.append(audience)
             self._simulation.reports += 1
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -147,7 +147,7 @@
                 owners=near if session.is_near else far,
                 is_satisfied=audience.is_satisfied,
             )
-            if audience.take_due(now=now, pause_s=pause_s):
+            if audience.take_due(now=now, interval_s=pause_s):
                 self._send_room(session, now)
                 told.append(session)
         if len(told) > 1:
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -55,7 +55,7 @@
 WRONG_LIFE = 421
 REJECTIONS = {
     "old": StartOutcome.RUN_USED,
-    "room": StartOutcome.NO_ROOM,
+    "room": StartOutcome.NO_CAPACITY,
     "late": StartOutcome.EXPIRED,
     "fence": StartOutcome.FENCED,
 }
@@ -264,7 +264,7 @@
 
     def _read_start(self, response: JsonResponse, headers: dict[str, str]) -> StartOutcome:
         if response.status == WRONG_LIFE:
-            return StartOutcome.WRONG_LIFE
+            return StartOutcome.WRONG_INCARNATION
         answer = _decode_clock(response)
         if headers is self._headers:
             self._follow_clock(answer.clock_ms)
--- a/tests/core/supervision/test_capacity_releases.py
+++ b/tests/core/supervision/test_capacity_releases.py
@@ -1,4 +1,4 @@
-"""The agent's word on room that comes free, under long tasks that hold all of it."""
+"""Expected capacity releases of a worker that is full of long tasks."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from dalemast.core.scheduling.coming import MOST_STEPS
 from dalemast.core.supervision import EndedRun, ListedRun, RunId, StartOutcome
 from dalemast.core.workloads import TaskKey
-from tests.core.supervision.test_supervisor import SupervisorTestCase, make_life, make_start
+from tests.core.supervision.test_supervisor import SupervisorTestCase, make_incarnation, make_start
 
 LONG_S = 1.8
-"""How long the tasks run that hold the room."""
-GRAIN_S = 0.01
+"""Run time of the long tasks, in seconds."""
+TICK_S = 0.01
 
 
 def get_id(position: int) -> RunId:
     return RunId("long", TaskKey(0, position), 1)
 
 
-class ComingRoomTests(SupervisorTestCase):
+class CapacityReleaseTests(SupervisorTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.supervisor.register_incarnation(make_life(cpu=16000), now=0.0)
+        self.supervisor.register_incarnation(make_incarnation(cpu=16000), now=0.0)
         self.began: dict[int, float] = {}
 
     def begin(self, position: int, now: float, *, expected_s: float = LONG_S) -> None:
-        """Let a task begin that takes one core."""
+        """Start a task that uses one core."""
         request = replace(make_start("long", position=position), expected_s=expected_s)
         self.start(request, now=now)
         self.supervisor.handle_start_outcome(
@@ -35,7 +35,7 @@
         self.began[position] = now
 
     def play(self, now: float) -> None:
-        """Let the worker list all that runs, with its progress."""
+        """Poll the worker, which lists all runs with their progress."""
         rows = [
             ListedRun(get_id(position), int(100 * (now - began) / LONG_S))
             for position, began in self.began.items()
@@ -46,7 +46,7 @@
     def get(self, now: float) -> list[tuple[float, int]]:
         return [(row.in_s, row.cpu) for row in self.supervisor.get_releases(now=now)]
 
-    def test_an_idle_worker_has_nothing_to_free(self) -> None:
+    def test_an_idle_worker_has_none(self) -> None:
         self.assertEqual([], self.get(1.0))
 
     def test_each_end_is_a_step_while_they_are_few(self) -> None:
@@ -54,7 +54,7 @@
         self.begin(1, 1.5)
         self.assertEqual([(1.3, 1000), (1.8, 1000)], self.get(1.5))
 
-    def test_long_tasks_that_hold_the_room_end_in_few_steps_finest_first(self) -> None:
+    def test_many_ends_are_grouped_into_steps_that_grow(self) -> None:
         for position in range(13):
             self.begin(position, 1.0 + position / 10)
         now = 2.3
@@ -63,9 +63,9 @@
         self.assertEqual([1000, 2000, 4000, 6000], [cpu for _, cpu in steps])
         self.assertEqual(MOST_STEPS, len(steps))
         self.assertEqual(sorted(steps), steps)
-        # The first end is the one of the task that began first, at 2.8.
+        # The first end is that of the task that began first, at 2.8.
         self.assertAlmostEqual(0.5, steps[0][0], delta=0.05)
-        # No step comes before the last end that it counts.
+        # No step comes before the last end in it.
         self.assertGreaterEqual(steps[-1][0], 1.0 + 1.2 + LONG_S - now - 0.05)
 
     def test_tasks_that_end_together_are_one_step(self) -> None:
@@ -74,37 +74,37 @@
         self.begin(8, 1.5)
         self.assertEqual([8000, 1000], [cpu for _, cpu in self.get(1.5)])
 
-    def test_the_progress_goes_before_what_was_expected(self) -> None:
+    def test_progress_takes_precedence_over_the_expected_time(self) -> None:
         self.begin(0, 1.0, expected_s=0.3)
         self.play(1.9)
         ((in_s, _),) = self.get(1.9)
         self.assertAlmostEqual(0.9, in_s, delta=0.05)
 
-    def test_a_run_that_is_overdue_without_progress_or_stands_still_is_left_out(self) -> None:
+    def test_an_overdue_or_stalled_run_is_excluded(self) -> None:
         self.begin(0, 1.0, expected_s=0.3)
         self.assertEqual([], self.get(1.4))
         self.play(1.9)
         self.assertEqual([], self.get(4.0))
 
-    def test_a_run_that_is_told_to_stop_is_left_out(self) -> None:
+    def test_a_run_that_is_told_to_stop_is_excluded(self) -> None:
         self.begin(0, 1.0)
         self.supervisor.stop(get_id(0), owner="o1", now=1.1)
         self.assertEqual([], self.get(1.1))
 
-    def test_a_worker_that_leaves_or_takes_nothing_has_none(self) -> None:
+    def test_a_leaving_worker_has_none(self) -> None:
         self.begin(0, 1.0)
         self.assertEqual(1, len(self.get(1.1)))
         self.supervisor.register_incarnation(
-            replace(make_life(cpu=16000), is_leaving=True), now=1.1
+            replace(make_incarnation(cpu=16000), is_leaving=True), now=1.1
         )
         self.assertEqual([], self.get(1.1))
 
-    def test_an_agent_that_drains_has_none(self) -> None:
+    def test_a_draining_agent_has_none(self) -> None:
         self.begin(0, 1.0)
         self.supervisor.drain()
         self.assertEqual([], self.get(1.1))
 
-    def test_what_has_ended_comes_no_more(self) -> None:
+    def test_an_ended_run_is_no_longer_included(self) -> None:
         self.begin(0, 1.0)
         self.poll(ended=(EndedRun(1, get_id(0), EndReason.DONE),), now=1.2)
         self.assertEqual([], self.get(1.2))
--- a/tests/core/supervision/test_free.py
+++ b/tests/core/supervision/test_free.py
@@ -1,4 +1,4 @@
-"""The room that a supervisor keeps, against the sum of what runs."""
+"""The free capacity of a supervisor, compared with the sum of its runs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     )
 
 
-class FreeRoomTests(testtools.TestCase):
+class FreeCapacityTests(testtools.TestCase):
     @given(steps)
     def test_free_room_is_the_capacity_less_what_runs(self, plan: list[tuple[str, int]]) -> None:
         limits = SupervisorLimits(owner_timeout_s=1e6, lease_s=0.6, stop_s=0.05)
--- a/tests/core/supervision/test_incarnations.py
+++ b/tests/core/supervision/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Lives of one worker whose reports arrive in any order, any time after they were sent."""
+"""Incarnations of one worker whose reports arrive late and in any order."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from testtools import TestCase
 
 from dalemast.core.supervision.base import WorkerIncarnation
-from dalemast.core.supervision.incarnations import MAX_OVER, WorkerIncarnations
+from dalemast.core.supervision.incarnations import MAX_ENDED, WorkerIncarnations
 from dalemast.core.workloads import Resources
 
 LIVES = 4
 
 
-def make_life(number: int) -> WorkerIncarnation:
+def make_incarnation(number: int) -> WorkerIncarnation:
     return WorkerIncarnation(
         id=f"i-{number}",
         service="floor",
@@ -27,7 +27,7 @@
 
 
 class Worker:
-    """A worker whose lives follow one another, with an agent that calls it and hears reports."""
+    """A worker with successive incarnations, and an agent that calls it and receives reports."""
 
     def __init__(self) -> None:
         self.lives = WorkerIncarnations()
@@ -35,14 +35,14 @@
         self._clock = itertools.count(1)
 
     def report(self, number: int) -> None:
-        """Deliver a report of the present life or of one that is over."""
+        """Deliver a report of the running incarnation or of an earlier one."""
         before = self.lives.current
-        self.lives.meet(make_life(min(number, self.number)), now=next(self._clock))
+        self.lives.register(make_incarnation(min(number, self.number)), now=next(self._clock))
         if before is not None:
-            assert self.lives.current == before, "a report alone replaced a life"
+            assert self.lives.current == before, "a report alone replaced an incarnation"
 
     def call(self) -> None:
-        """Let the agent call the life that it believes in, and the present one answer."""
+        """Let the agent call its current incarnation, and the running one answer."""
         current = self.lives.current
         asked_at = next(self._clock)
         if current is None:
@@ -54,11 +54,11 @@
             self.lives.lose(is_over=True)
 
     def be_silent(self) -> None:
-        """Let the agent give the life up since nothing answers."""
+        """Let the agent give up the incarnation since nothing answers."""
         self.lives.lose(is_over=False)
 
     def crash(self) -> None:
-        """Let the next life begin."""
+        """Start the next incarnation."""
         self.number = min(self.number + 1, LIVES)
 
 
@@ -71,7 +71,7 @@
 )
 
 
-class LivesProperties(TestCase):
+class IncarnationProperties(TestCase):
     @given(STEPS)
     def test_the_life_that_is_there_always_gets_through(self, steps: list[tuple[str, int]]) -> None:
         worker = Worker()
@@ -93,9 +93,9 @@
 
 
 class BoundTests(TestCase):
-    def test_lives_without_end_are_not_all_remembered(self) -> None:
-        """Another writer may report under a new id each time, and end it again."""
-        lives = WorkerIncarnations()
-        for number in range(3 * MAX_OVER):
-            lives.bar(f"i-{number}")
-        self.assertEqual(MAX_OVER, len(lives._over))
+    def test_the_number_of_remembered_incarnations_is_bounded(self) -> None:
+        """Another process may report and deregister ever new ids."""
+        incarnations = WorkerIncarnations()
+        for number in range(3 * MAX_ENDED):
+            incarnations.mark_ended(f"i-{number}")
+        self.assertEqual(MAX_ENDED, len(incarnations._ended))
--- a/tests/core/supervision/test_keeping.py
+++ b/tests/core/supervision/test_keeping.py
@@ -1,4 +1,4 @@
-"""Until when owners keep runs alive, and what that bounds: leases, starts and stops."""
+"""Until when owners keep runs alive, and the effect on leases, starts and stops."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from dalemast.core.workloads import TaskKey
 from tests.core.supervision.test_supervisor import (
     LEASE_S,
-    PATIENCE_S,
+    OWNER_TIMEOUT_S,
     SupervisorTestCase,
     make_start,
     pick,
@@ -24,7 +24,7 @@
 
 
 class StoppedOrderTests(SupervisorTestCase):
-    """A run that is told to stop while its start is still under way may begin all the same."""
+    """A run that is told to stop while its order is being sent may still begin."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -32,10 +32,10 @@
         self.start(self.request)
         self.supervisor.stop(self.request.run_id, owner="o1", now=1.0)
 
-    def test_it_is_not_over_while_a_try_may_be_under_way(self) -> None:
+    def test_it_has_not_ended_while_an_attempt_may_be_under_way(self) -> None:
         self.assertEqual([], pick(self.poll(now=1.3), ReportEnd))
 
-    def test_without_an_answer_it_is_over_once_it_can_not_begin_any_more(self) -> None:
+    def test_without_an_answer_it_has_ended_once_the_order_has_expired(self) -> None:
         self.supervisor.handle_start_outcome(
             self.request.run_id, StartOutcome.UNANSWERED, now=1.3, expires_at=1.6
         )
@@ -44,72 +44,74 @@
         self.assertIs(EndReason.STOPPED, report.reason)
 
 
-class OwnerTests(SupervisorTestCase):
-    def test_the_runs_of_a_silent_owner_are_stopped(self) -> None:
+class OwnerLeaseTests(SupervisorTestCase):
+    def test_the_runs_of_an_owner_that_timed_out_are_stopped(self) -> None:
         run_id = self.run_task(make_start())
-        self.assertEqual([], self.supervisor.tick(now=1.0 + PATIENCE_S))
-        self.assertEqual([OrderStop(run_id=run_id)], self.supervisor.tick(now=1.01 + PATIENCE_S))
+        self.assertEqual([], self.supervisor.tick(now=1.0 + OWNER_TIMEOUT_S))
+        self.assertEqual(
+            [OrderStop(run_id=run_id)], self.supervisor.tick(now=1.01 + OWNER_TIMEOUT_S)
+        )
 
-    def test_an_owner_that_is_heard_keeps_its_runs(self) -> None:
+    def test_a_message_of_the_owner_keeps_its_runs_alive(self) -> None:
         self.run_task(make_start())
         self.supervisor.renew_owner("o1", sent_at=1.4)
         self.assertEqual([], self.supervisor.tick(now=1.6))
 
-    def test_a_stop_without_effect_is_said_again(self) -> None:
+    def test_a_stop_without_effect_is_repeated(self) -> None:
         run_id = self.run_task(make_start())
         self.supervisor.stop(run_id, owner="o1", now=1.0)
         self.assertEqual([], self.supervisor.get_unstopped(now=1.05, older_than_s=0.15))
         self.assertEqual([run_id], self.supervisor.get_unstopped(now=1.3, older_than_s=0.15))
 
-    def test_a_start_that_was_said_too_long_ago_is_not_taken(self) -> None:
-        """Its owner may have given the agent up since, and counts from then on."""
+    def test_a_start_that_was_sent_too_long_ago_is_refused(self) -> None:
+        """Its owner may have given up the agent since, and may count the task as not started."""
         late = make_start()
-        (report, _) = self.supervisor.start(late, now=late.sent_at + PATIENCE_S + 0.01)
+        (report, _) = self.supervisor.start(late, now=late.sent_at + OWNER_TIMEOUT_S + 0.01)
         self.assertIs(EndReason.NOT_TAKEN, report.reason)
 
-    def test_the_lease_follows_the_owner_that_is_silent_for_longest(self) -> None:
+    def test_the_lease_follows_the_earliest_expiry_of_an_owner(self) -> None:
         self.run_task(make_start("a"))
         other = replace(make_start("b"), owner="o2")
         self.supervisor.start(other, now=1.0)
         self.supervisor.renew_owner("o2", sent_at=1.4)
-        self.assertEqual(1.0 + PATIENCE_S + LEASE_S, self.supervisor.get_lease_limit())
+        self.assertEqual(1.0 + OWNER_TIMEOUT_S + LEASE_S, self.supervisor.get_lease_limit())
 
     def test_a_run_that_is_told_to_stop_is_kept_alive_no_longer(self) -> None:
-        """Nor is the lease, for its sake: each stop may get lost, and it must end all the same."""
+        """The lease is not renewed for it either, so that it ends even if each stop is lost."""
         run_id = self.run_task(make_start())
         self.supervisor.stop(run_id, owner="o1", now=1.0)
         self.supervisor.renew_owner("o1", sent_at=1.4)
-        self.assertEqual(1.0 + PATIENCE_S + LEASE_S, self.supervisor.get_lease_limit())
+        self.assertEqual(1.0 + OWNER_TIMEOUT_S + LEASE_S, self.supervisor.get_lease_limit())
         self.poll(ended=(EndedRun(1, run_id, EndReason.STOPPED),), now=1.5)
         self.assertEqual(float("inf"), self.supervisor.get_lease_limit())
 
-    def test_a_run_that_nobody_here_knows_keeps_the_lease_from_being_renewed(self) -> None:
-        """Its owner may count it as over: it began late, or in an earlier life of the agent."""
+    def test_the_lease_is_not_renewed_with_an_orphaned_run(self) -> None:
+        """Its owner may count it as ended if it began late or before a restart of the agent."""
         self.poll(ListedRun(RunId("z", TaskKey(0, 0), 1), 5.0), now=1.1)
         self.assertEqual(float("-inf"), self.supervisor.get_lease_limit())
 
-    def test_a_worker_whose_lease_can_not_be_renewed_takes_no_starts(self) -> None:
+    def test_a_worker_whose_lease_can_not_be_renewed_accepts_no_starts(self) -> None:
         self.supervisor.stop(self.run_task(make_start()), owner="o1", now=1.0)
         self.assertTrue(self.supervisor.is_accepting(now=1.7))
         self.assertFalse(self.supervisor.is_accepting(now=1.8))
 
-    def test_a_start_is_not_wanted_any_more_once_its_run_is_told_to_stop(self) -> None:
+    def test_a_start_is_not_sent_once_its_run_is_told_to_stop(self) -> None:
         request = make_start()
         self.start(request)
         self.assertLess(1.0, self.supervisor.get_order_limit(request.run_id))
         self.supervisor.stop(request.run_id, owner="o1", now=1.0)
         self.assertEqual(float("-inf"), self.supervisor.get_order_limit(request.run_id))
 
-    def test_another_owners_stop_of_a_run_of_the_same_name_is_passed_over(self) -> None:
-        """Run numbers begin again when a job goes to another entry, and stops may be late."""
+    def test_another_owners_stop_of_a_run_with_the_same_id_is_ignored(self) -> None:
+        """Run numbers restart when a job moves to another entry, and stops may arrive late."""
         run_id = self.run_task(make_start())
         self.assertEqual([], self.supervisor.stop(run_id, owner="o0", now=1.0))
         self.assertEqual(
             [OrderStop(run_id=run_id)], self.supervisor.stop(run_id, owner="o1", now=1.0)
         )
 
-    def test_a_stop_is_said_again_though_the_run_makes_progress(self) -> None:
-        """A stop that gets lost says nothing of the run's progress, which went on for a second."""
+    def test_a_stop_is_repeated_though_the_run_makes_progress(self) -> None:
+        """A stop may be lost, and the run then continues."""
         run_id = self.run_task(make_start())
         self.supervisor.stop(run_id, owner="o1", now=1.0)
         for number in range(8):
--- a/tests/core/supervision/test_polls.py
+++ b/tests/core/supervision/test_polls.py
@@ -1,4 +1,4 @@
-"""How long looks wait, and what unanswered ones say of the worker."""
+"""How long polls wait, and what unanswered polls show."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 )
 
 LOST_EVERY = 25
-"""One answer of so many is lost, as on a day of high load with such workers."""
+"""One of so many answers is lost."""
 END_EVERY_S = 0.055
-"""How often a run ends on a full worker of ten tasks that take half a second."""
+"""Interval between the ends of runs, in seconds."""
 PROBE_S = 0.002
 
 
 def replay(schedule: PollSchedule, *, learns: bool) -> float:
-    """Lose one answer in 25 for 20 s of full load; return how late ends were seen in the mean."""
+    """Simulate 20 s with lost answers; return the mean delay at which ends are observed."""
     now = 0.0
     seen = 0
     delays: list[float] = []
@@ -39,10 +39,10 @@
             schedule.note_unanswered()
         if now > 20.0:
             return sum(delays) / len(delays)
-    raise AssertionError("the replay has no end")
+    raise AssertionError("the replay does not end")
 
 
-class LookScheduleTests(testtools.TestCase):
+class PollScheduleTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.schedule = PollSchedule()
@@ -50,11 +50,11 @@
     def get_wait_s(self, now: float) -> float:
         return self.schedule.plan(has_runs=True, now=now).wait_s
 
-    def test_ends_are_seen_sooner_while_answers_get_lost(self) -> None:
+    def test_ends_are_observed_sooner_while_answers_are_lost(self) -> None:
         before_s = replay(PollSchedule(), learns=False)
         self.assertLess(replay(PollSchedule(), learns=True), 0.5 * before_s)
 
-    def test_one_lost_answer_among_others_shows_no_silence(self) -> None:
+    def test_a_single_lost_answer_does_not_show_an_unresponsive_worker(self) -> None:
         self.schedule.note_unanswered()
         self.assertTrue(self.schedule.is_newly_unresponsive(now=1.0))
         self.schedule.note_answer(now=1.0)
@@ -63,25 +63,25 @@
         self.schedule.note_unanswered()
         self.assertTrue(self.schedule.is_newly_unresponsive(now=1.6))
 
-    def test_a_look_that_is_lost_among_others_is_noticed_soon(self) -> None:
+    def test_polls_wait_for_a_shorter_time_while_answers_are_lost(self) -> None:
         self.schedule.note_unanswered()
         self.schedule.note_answer(now=1.0)
         plan = self.schedule.plan(has_runs=True, now=1.1)
         self.assertEqual((LOSSY_WAIT_S, LOSSY_SLACK_S), (plan.wait_s, plan.slack_s))
         self.assertTrue(plan.renews)
 
-    def test_looks_wait_long_again_once_no_answer_is_lost(self) -> None:
+    def test_polls_wait_long_again_once_no_answers_are_lost(self) -> None:
         self.schedule.note_unanswered()
         self.schedule.note_answer(now=1.0)
         self.assertEqual(POLL_WAIT_S, self.get_wait_s(now=1.0 + LOSSY_S))
 
-    def test_a_worker_that_was_silent_for_longer_is_not_taken_for_a_lossy_one(self) -> None:
+    def test_several_unanswered_polls_do_not_count_as_lost_answers(self) -> None:
         self.schedule.note_unanswered()
         self.schedule.note_unanswered()
         self.schedule.note_answer(now=1.0)
         self.assertEqual(POLL_WAIT_S, self.get_wait_s(now=1.0))
 
-    def test_a_silent_worker_is_asked_for_an_answer_at_once(self) -> None:
+    def test_an_unresponsive_worker_is_polled_without_wait_or_renewal(self) -> None:
         self.schedule.note_unanswered()
         plan = self.schedule.plan(has_runs=True, now=1.0)
         self.assertEqual((0.0, False), (plan.wait_s, plan.renews))
--- a/tests/core/supervision/test_preemption.py
+++ b/tests/core/supervision/test_preemption.py
@@ -1,4 +1,4 @@
-"""A burst of the longest, least urgent tasks fills a worker, and the most urgent find no room."""
+"""Preemption on a worker that is full of long, less urgent tasks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,12 @@
     SupervisorLimits,
     WorkerIncarnation,
 )
-from dalemast.core.supervision.preemption import FRESH_S, HOLD_S, KEPT_SHARE, LONGEST_S
+from dalemast.core.supervision.preemption import (
+    HOLD_S,
+    KEPT_SHARE,
+    MAX_REQUEST_AGE_S,
+    MAX_RESERVATION_S,
+)
 from dalemast.core.workloads import Resources, TaskKey
 
 STOP_S = 0.05
@@ -35,14 +40,14 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def want(cpu: int = 1200, *, preempts_from: int | None = 1) -> Want:
+def make_request(cpu: int = 1200, *, preempts_from: int | None = 1) -> Want:
     return Want(rank=(0.0, 0.0, 0.05), cpu=cpu, preempts_from=preempts_from)
 
 
 class PreemptionTestCase(testtools.TestCase):
-    """A worker of 16 cores. Tasks of 1.2 cores leave 400 thousandths of one free when it is full.
+    """A worker of 16 cores, which has 400 thousandths of a core free when full of 1.2 core tasks.
 
-    ``earn`` lets earlier work end well, so that some work may be thrown away.
+    ``earn`` records successful work, a share of which may be lost to preemption.
     """
 
     def setUp(self) -> None:
@@ -51,12 +56,12 @@
         self.supervisor = Supervisor(limits=limits)
         self.runs: dict[RunId, float] = {}
         self.numbers = iter(range(1, 1000))
-        self.supervisor.register_incarnation(self.make_life(), now=0.0)
+        self.supervisor.register_incarnation(self.make_incarnation(), now=0.0)
         self.poll(now=0.0)
 
-    def make_life(self, life_id: str = "i-1") -> WorkerIncarnation:
+    def make_incarnation(self, incarnation_id: str = "i-1") -> WorkerIncarnation:
         return WorkerIncarnation(
-            id=life_id,
+            id=incarnation_id,
             service="floor",
             data_centre="austin",
             capacity=Resources(cpu=1000 * CORES, memory_mb=100_000),
@@ -65,7 +70,7 @@
         )
 
     def earn(self) -> None:
-        """Let the worker be full of work that ends well for some seconds."""
+        """Let the worker complete successful work for some seconds."""
         for number in range(3):
             started = self.fill(f"earlier-{number}", now=-10.0 + 3 * number)
             for run_id in started:
@@ -102,7 +107,7 @@
         return self.supervisor.start(request, now=now)
 
     def start(self, job_id: str, *, now: float = 10.0, **fields: object) -> RunId:
-        """Start a task and see it run."""
+        """Start a task and let a poll list it."""
         (order,) = pick(self.ask_start(job_id, now=now, **fields), OrderStart)
         run_id = order.request.run_id
         self.supervisor.handle_start_outcome(
@@ -113,22 +118,22 @@
         return run_id
 
     def poll(self, *, now: float) -> None:
-        """Show what runs, each a little on its way."""
+        """Poll the worker, which lists all runs with their progress."""
         rows = [ListedRun(run_id, 100 * (now - at) / LONG_S) for run_id, at in self.runs.items()]
         self.supervisor.handle_poll(rows, (), asked_at=now, now=now)
 
     def end(self, run_id: RunId, reason: EndReason, *, now: float) -> list[Action]:
-        """Let the worker show that a run has ended."""
+        """Poll the worker, which lists the end of a run."""
         del self.runs[run_id]
         rows = [ListedRun(other, 1.0) for other in self.runs]
         ended = [EndedRun(next(self.numbers), run_id, reason)]
         return self.supervisor.handle_poll(rows, ended, asked_at=now, now=now)
 
     def preempt(
-        self, wish: Want | None = None, *, owner: str = "o2", now: float = 10.1
+        self, request: Want | None = None, *, owner: str = "o2", now: float = 10.1
     ) -> list[PreemptRun]:
-        wish = wish or want()
-        return pick(self.supervisor.preempt(owner, wish, sent_at=now, now=now), PreemptRun)
+        request = request or make_request()
+        return pick(self.supervisor.preempt(owner, request, sent_at=now, now=now), PreemptRun)
 
 
 class VictimTests(PreemptionTestCase):
@@ -136,13 +141,13 @@
         super().setUp()
         self.earn()
 
-    def test_a_long_run_gives_way_to_an_urgent_job(self) -> None:
+    def test_a_long_run_is_preempted_for_an_urgent_job(self) -> None:
         self.fill()
         (stopped,) = self.preempt()
         self.assertEqual((LONG, 1), (stopped.priority, stopped.preempts_from))
         self.assertAlmostEqual(0.12, stopped.lost_core_s, places=2)
 
-    def test_the_run_that_loses_least_gives_way(self) -> None:
+    def test_the_run_that_loses_the_least_work_is_preempted(self) -> None:
         self.fill(now=9.8)
         youngest = self.free_and_start(now=10.05)
         (stopped,) = self.preempt()
@@ -152,11 +157,11 @@
         self.end(next(iter(self.runs)), EndReason.DONE, now=now)
         return self.start("youngest", now=now)
 
-    def test_just_enough_give_way_for_one_task(self) -> None:
+    def test_just_enough_runs_are_preempted_for_one_task(self) -> None:
         self.fill()
-        self.assertEqual(3, len(self.preempt(want(3600))))
+        self.assertEqual(3, len(self.preempt(make_request(3600))))
 
-    def test_a_smaller_run_is_left_that_is_not_needed_beside_a_larger_one(self) -> None:
+    def test_a_smaller_run_that_is_not_needed_beside_a_larger_one_continues(self) -> None:
         self.fill(now=9.9)
         for run_id in list(self.runs)[:2]:
             self.end(run_id, EndReason.DONE, now=10.0)
@@ -164,57 +169,64 @@
         self.start("large", cpu=2400, now=10.04)
         self.assertEqual(["large"], [stopped.run_id.job_id for stopped in self.preempt()])
 
-    def test_none_gives_way_while_there_is_room(self) -> None:
+    def test_none_is_preempted_while_there_is_free_capacity(self) -> None:
         self.fill()
-        self.assertEqual([], self.preempt(want(400)))
+        self.assertEqual([], self.preempt(make_request(400)))
 
-    def test_none_gives_way_if_all_that_may_are_not_enough(self) -> None:
+    def test_none_is_preempted_if_all_together_are_not_enough(self) -> None:
         self.fill()
-        self.assertEqual([], self.preempt(want(15_000)))
+        self.assertEqual([], self.preempt(make_request(15_000)))
 
-    def test_only_less_urgent_runs_give_way(self) -> None:
+    def test_only_less_urgent_runs_are_preempted(self) -> None:
         self.fill(priority=URGENT)
         self.assertEqual([], self.preempt())
-        self.assertEqual([], self.preempt(want(preempts_from=0)))
+        self.assertEqual([], self.preempt(make_request(preempts_from=0)))
 
-    def test_a_wish_that_may_not_preempt_stops_nothing(self) -> None:
+    def test_a_request_that_may_not_preempt_stops_nothing(self) -> None:
         self.fill()
-        self.assertEqual([], self.preempt(want(preempts_from=None)))
+        self.assertEqual([], self.preempt(make_request(preempts_from=None)))
 
-    def test_a_run_whose_job_could_not_be_on_time_any_more_goes_on(self) -> None:
+    def test_a_run_whose_job_would_be_late_continues(self) -> None:
         self.fill(spare_s=0.14)
         self.assertEqual([], self.preempt())
 
-    def test_a_run_that_has_given_way_before_goes_on(self) -> None:
+    def test_a_run_that_must_not_be_preempted_continues(self) -> None:
         self.fill(spare_s=None)
         self.assertEqual([], self.preempt())
 
-    def test_a_run_that_is_half_done_goes_on(self) -> None:
+    def test_a_run_that_is_half_done_continues(self) -> None:
         self.fill(spare_s=5.0)
         self.poll(now=10.95)
         self.assertEqual([], self.preempt(now=10.95))
 
-    def test_a_run_that_ends_about_as_soon_as_it_could_be_stopped_goes_on(self) -> None:
+    def test_a_run_that_ends_about_as_soon_as_its_stop_would_continues(self) -> None:
         self.fill(run_s=0.14)
         self.assertEqual([], self.preempt(now=10.05))
 
-    def test_false_words_stop_nothing_and_harm_nobody(self) -> None:
-        for number, words in enumerate(
+    def test_invalid_values_stop_nothing(self) -> None:
+        for number, fields in enumerate(
             ({"spare_s": nan}, {"run_s": nan}, {"priority": -1}, {"spare_s": -5.0}, {"run_s": 0.0})
         ):
-            self.start(f"false-{number}", **words)
-        self.assertEqual([], self.preempt(want(15_000)))
-        for absurd in (want(10**12), want(-5), want(preempts_from=-7), want(preempts_from=10**12)):
-            self.assertEqual([], self.preempt(absurd))
+            self.start(f"false-{number}", **fields)
+        self.assertEqual([], self.preempt(make_request(15_000)))
+        for invalid in (
+            make_request(10**12),
+            make_request(-5),
+            make_request(preempts_from=-7),
+            make_request(preempts_from=10**12),
+        ):
+            self.assertEqual([], self.preempt(invalid))
         self.start("endless", run_s=inf, spare_s=inf)
 
-    def test_an_old_wish_stops_nothing(self) -> None:
-        """It was held up on its way, or its owner stands still."""
+    def test_an_old_request_stops_nothing(self) -> None:
+        """It was delayed, or its owner is paused."""
         self.fill()
-        for sent_at in (10.1 - FRESH_S - 0.01, -inf, nan):
-            self.assertEqual([], self.supervisor.preempt("o2", want(), sent_at=sent_at, now=10.1))
+        for sent_at in (10.1 - MAX_REQUEST_AGE_S - 0.01, -inf, nan):
+            self.assertEqual(
+                [], self.supervisor.preempt("o2", make_request(), sent_at=sent_at, now=10.1)
+            )
 
-    def test_a_run_that_no_look_has_shown_yet_goes_on(self) -> None:
+    def test_a_run_that_no_poll_has_listed_yet_continues(self) -> None:
         self.fill()
         self.runs.clear()
         for run in self.supervisor.runs.values():
@@ -223,9 +235,9 @@
 
 
 class BoundTests(PreemptionTestCase):
-    def test_a_share_of_the_work_done_may_be_thrown_away(self) -> None:
+    def test_the_lost_work_is_bounded_by_a_share_of_successful_work(self) -> None:
         self.fill()
-        self.assertEqual([], self.preempt(), "nothing has ended here")
+        self.assertEqual([], self.preempt(), "no run has ended yet")
         for run_id in list(self.runs):
             self.end(run_id, EndReason.DONE, now=11.8)
         self.fill("next", now=12.0)
@@ -235,7 +247,7 @@
         self.assertLess(self.supervisor.budget_core_s, budget)
         self.assertGreaterEqual(self.supervisor.budget_core_s, 0.0)
 
-    def test_one_takeover_at_a_time_for_an_owner(self) -> None:
+    def test_an_owner_has_one_reservation_at_a_time(self) -> None:
         self.earn()
         self.fill()
         self.assertEqual(1, len(self.preempt()))
@@ -246,7 +258,8 @@
         self.earn()
         self.fill("long")
         stopped = sum(
-            len(self.preempt(want(3600), owner=f"o{number}", now=10.02)) for number in range(9)
+            len(self.preempt(make_request(3600), owner=f"o{number}", now=10.02))
+            for number in range(9)
         )
         left = (len(self.runs) - stopped) * 1200
         self.assertGreater(stopped, 0)
@@ -272,23 +285,23 @@
     def get_ends(self, actions: list[Action]) -> list[EndReason]:
         return [end.reason for end in pick(actions, ReportEnd)]
 
-    def test_its_end_is_told_only_once_the_worker_shows_it(self) -> None:
+    def test_its_end_is_reported_only_once_the_worker_lists_it(self) -> None:
         self.assertIn(self.victim, self.supervisor.runs)
         self.assertEqual(400, self.supervisor.get_free().cpu)
         self.assertEqual([], self.supervisor.tick(now=10.5))
         ends = self.get_ends(self.end(self.victim, EndReason.STOPPED, now=10.6))
         self.assertEqual([EndReason.PREEMPTED], ends)
 
-    def test_a_run_that_ended_before_its_stop_ended_that_way(self) -> None:
+    def test_a_run_that_ended_before_its_stop_keeps_its_end_reason(self) -> None:
         ends = self.get_ends(self.end(self.victim, EndReason.DONE, now=10.12))
         self.assertEqual([EndReason.DONE], ends)
 
-    def test_a_worker_that_is_gone_ends_all_takeovers(self) -> None:
+    def test_the_loss_of_the_worker_drops_all_reservations(self) -> None:
         ends = self.get_ends(self.supervisor.lose_incarnation(is_over=True))
         self.assertEqual([EndReason.CRASHED] * len(self.runs), ends)
         self.assertEqual(0, len(self.supervisor.reservations))
 
-    def test_the_freed_room_is_kept_for_whom_it_was_made(self) -> None:
+    def test_the_freed_capacity_is_reserved_for_the_requesting_owner(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         self.assertEqual(1600, self.supervisor.get_free_for("o2").cpu)
         self.assertEqual(400, self.supervisor.get_free_for("o1").cpu)
@@ -301,28 +314,28 @@
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         self.start("as-urgent", owner="o3", priority=URGENT, now=10.13)
 
-    def test_room_that_is_not_used_is_given_back(self) -> None:
+    def test_a_reservation_that_is_not_used_expires(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
-        told = self.supervisor.tick(now=10.12 + HOLD_S + 0.001)
-        self.assertEqual(1, len(pick(told, ReportCapacity)))
+        actions = self.supervisor.tick(now=10.12 + HOLD_S + 0.001)
+        self.assertEqual(1, len(pick(actions, ReportCapacity)))
         self.start("next", owner="o1", now=10.2)
 
-    def test_room_that_is_not_wanted_any_more_is_given_back_at_once(self) -> None:
+    def test_a_withdrawn_request_frees_its_reservation_at_once(self) -> None:
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         self.assertEqual(1, len(self.supervisor.withdraw_request("o2")))
         self.assertEqual([], self.supervisor.withdraw_request("o2"))
         self.start("next", owner="o1", now=10.13)
 
-    def test_an_owner_that_changes_its_mind_has_no_second_run_stopped(self) -> None:
+    def test_a_request_after_a_withdrawal_preempts_no_second_run(self) -> None:
         self.supervisor.withdraw_request("o2")
         self.assertEqual([], self.preempt(now=10.11))
         self.end(self.victim, EndReason.STOPPED, now=10.12)
         self.assertEqual(1600, self.supervisor.get_free_for("o1").cpu)
         self.assertEqual(0, len(self.supervisor.reservations))
 
-    def test_a_stop_that_gets_lost_keeps_its_owner_from_asking_for_a_while_only(self) -> None:
+    def test_a_lost_stop_blocks_further_requests_of_its_owner_for_a_limited_time(self) -> None:
         self.poll(now=10.9)
         self.assertEqual([], self.preempt(now=10.9))
-        self.supervisor.tick(now=10.1 + LONGEST_S + 0.01)
+        self.supervisor.tick(now=10.1 + MAX_RESERVATION_S + 0.01)
         self.assertIn(self.victim, self.supervisor.runs, "it has not ended")
         self.assertEqual(0, len(self.supervisor.reservations))
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -129,7 +129,7 @@
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             driver.meet(make_life("i-gone"))
             self.assertIs(
-                StartOutcome.WRONG_LIFE, await driver.start(make_request(), get_limit=always)
+                StartOutcome.WRONG_INCARNATION, await driver.start(make_request(), get_limit=always)
             )
             with self.assertRaises(WorkerReplaced):
                 await driver.look(plan(wait_s=0.0, renews=True), limit=always())
@@ -329,7 +329,7 @@
 
     def test_without_an_earlier_try_they_say_that_it_never_ran(self) -> None:
         outcomes = [self.order(answer)[0] for answer in ((409, "late"), (421, ""))]
-        self.assertEqual([StartOutcome.EXPIRED, StartOutcome.WRONG_LIFE], outcomes)
+        self.assertEqual([StartOutcome.EXPIRED, StartOutcome.WRONG_INCARNATION], outcomes)
 
     def test_a_start_that_is_not_wanted_any_more_is_not_said_again(self) -> None:
         outcome, client = self.order(None, (200, ""), limits=(float("inf"), float("-inf")))
