--- a/dalemast/core/catch_up/__init__.py
+++ b/dalemast/core/catch_up/__init__.py
@@ -1,6 +1,6 @@
-"""How a process that missed a version gets it from its peers, at a bounded number of copies."""
+"""Transfer of a missed configuration version from peers, with a bounded number of copies."""
 
 from dalemast.core.catch_up.copies import CopyLimit
-from dalemast.core.catch_up.missing import MissingVersion, VersionRequest, get_copy_s
+from dalemast.core.catch_up.missing import MissingVersion, VersionRequest, get_copy_timeout_s
 
-__all__ = ["VersionRequest", "CopyLimit", "MissingVersion", "get_copy_s"]
+__all__ = ["VersionRequest", "CopyLimit", "MissingVersion", "get_copy_timeout_s"]
--- a/dalemast/core/catch_up/copies.py
+++ b/dalemast/core/catch_up/copies.py
@@ -1,32 +1,32 @@
 """How many copies of a version a process sends at a time.
 
-The load this answers: one process alone has got a version from the store and all others ask it. If
-it served all at once, each copy would take as long as all of them; two at a time are with others
-soon, who then serve further ones, so the number of holders doubles with each round.
+A single process may have a version from the store that all others request. If it sent all copies at
+once, they would all arrive late. With a limit, the first copies arrive soon, and their receivers
+serve the next peers.
 """
 
 from __future__ import annotations
 
 __all__ = ["CopyLimit"]
 
-MOST_COPIES = 2
-"""Copies under way at a time. One alone would wait for a peer that has fallen silent."""
+MAX_COPIES = 2
+"""Maximum number of concurrent copies. With a single one, an unresponsive peer would block all."""
 
 
 class CopyLimit:
-    """The copies under way from here, by peer. Times are seconds."""
+    """The copies that this process is sending, by peer. Times are in seconds."""
 
     def __init__(self) -> None:
         self._until: dict[str, float] = {}
 
-    def take(self, peer: str, *, now: float, copy_s: float) -> bool:
-        """Tell whether a copy may be sent to a peer now, and count it for ``copy_s`` at most."""
+    def acquire(self, peer: str, *, now: float, copy_s: float) -> bool:
+        """Return whether a copy may be sent to a peer now; if so, count it for up to ``copy_s``."""
         self._until = {name: until for name, until in self._until.items() if now < until}
-        if peer not in self._until and len(self._until) >= MOST_COPIES:
+        if peer not in self._until and len(self._until) >= MAX_COPIES:
             return False
         self._until[peer] = now + copy_s
         return True
 
-    def note_arrived(self, peer: str) -> None:
-        """Note that a peer has the version, or is out of reach."""
+    def release(self, peer: str) -> None:
+        """Stop counting a copy, since the peer has the version or is unreachable."""
         self._until.pop(peer, None)
--- a/dalemast/core/catch_up/missing.py
+++ b/dalemast/core/catch_up/missing.py
@@ -1,83 +1,87 @@
-"""Which peer is asked for a version that this process lacks, and when.
+"""Which peer a missing version is requested from, and when.
 
-The load this answers: a version of some hundred kilobytes is accepted while every process reads the
-store at once. Sent unasked, each process would get a copy from every other, and the smallest links
-would be full for seconds. So peers tell one another the version alone, the store has a head start,
-and whoever still lacks the version asks one peer at a time.
+If processes sent each new version to all others unasked, every process would receive a copy from
+each peer, and small links would be saturated. So peers announce the number of a version alone, the
+store gets a head start, and a process that still lacks the version requests it from one peer at a
+time.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-__all__ = ["VersionRequest", "MissingVersion", "get_copy_s"]
+__all__ = ["VersionRequest", "MissingVersion", "get_copy_timeout_s"]
 
 HEAD_START_S = 0.4
-"""How long the store alone may bring a version that peers have: its answer of a megabyte takes
-about 0.3 s on a link of 25 Mbit/s. Versions must be in force within 2 s at the shortest, so three
-quarters of that are left to the peers."""
+"""How long after its announcement a version is expected from the store alone. It leaves most of the
+time in which a version must be in force to transfers from peers."""
 FIRST_HEAD_START_S = 0.05
-"""The same for a process without any version, which can serve nobody before it has one."""
-LATER_PAUSE_S = 0.1
-"""Pause after a peer said that it is sending to others already."""
-ANSWER_S = 0.25
-"""Longest time in which a peer that was asked begins to answer."""
-SLOWEST_BYTES_PER_S = 400_000.0
-"""Rate at which a copy arrives at the least: a quarter of a link of 12.5 Mbit/s, the smallest that
-hosts of today have."""
+"""The same for a process without any version, which can't serve requests until it has one."""
+DEFERRED_PAUSE_S = 0.1
+"""Pause after a peer deferred a request because it is sending copies to others."""
+RESPONSE_TIMEOUT_S = 0.25
+"""Maximum time until a peer begins to answer a request."""
+MIN_BYTES_PER_S = 400_000.0
+"""Minimum rate of a copy: a quarter of the slowest link that is supported."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class VersionRequest:
-    """Ask this peer for the version that it told of."""
+    """A request to a peer for the version that it announced."""
 
     peer: str
     version: int
 
 
-def get_copy_s(size_bytes: int) -> float:
-    """Return the time, in seconds, after which a copy of this size will not arrive any more."""
-    return ANSWER_S + size_bytes / SLOWEST_BYTES_PER_S
+def get_copy_timeout_s(size_bytes: int) -> float:
+    """Return how long to wait for a copy of this size, in seconds."""
+    return RESPONSE_TIMEOUT_S + size_bytes / MIN_BYTES_PER_S
 
 
 class MissingVersion:
-    """What peers have told of versions newer than the one here. Times are seconds."""
+    """Tracks the versions that peers announce, and requests one newer than the local version.
+
+    Times are readings of a steady clock, in seconds.
+    """
 
     def __init__(self) -> None:
         self._known = -1
         self._holders: dict[str, tuple[int, int]] = {}
-        """By peer, its version and that version's size in bytes."""
+        """By peer, its version and the size of that version in bytes."""
         self._tried: set[str] = set()
-        """Peers that were asked since one last told of something new."""
+        """Peers that have been requested to send the version and have not deferred it."""
         self._ask_at: float | None = None
 
     def note_own(self, version: int) -> None:
-        """Note the version that is in force here."""
+        """Record the version that is in force in this process."""
         self._known = max(self._known, version)
         if not self._get_newer():
             self._ask_at = None
             self._tried.clear()
 
     def note_peer(self, peer: str, version: int, size_bytes: int, *, now: float) -> None:
-        """Note which version a peer has."""
+        """Record the version that a peer announced."""
         self._holders[peer] = (version, size_bytes)
         self._tried.discard(peer)
         if version > self._known and self._ask_at is None:
             self._ask_at = now + (FIRST_HEAD_START_S if self._known < 0 else HEAD_START_S)
 
     def forget_peer(self, peer: str) -> None:
-        """Note that a peer is out of reach."""
+        """Remove a peer that is unreachable."""
         self._holders.pop(peer, None)
         self._tried.discard(peer)
 
     def note_deferred(self, peer: str, *, now: float) -> None:
-        """Note that a peer is busy with copies for others; it may be asked again."""
+        """Record that a peer is busy sending copies to others; it may be requested again."""
         self._tried.discard(peer)
         if self._ask_at is not None:
-            self._ask_at = now + LATER_PAUSE_S
+            self._ask_at = now + DEFERRED_PAUSE_S
 
     def take_due(self, *, now: float, draw: float) -> VersionRequest | None:
-        """Return whom to ask now, or None. ``draw`` from 0 to 1 picks one of several peers."""
+        """Return the request that is due now, if any.
+
+        ``draw``, a random number from 0 to 1, selects one of several peers.
+        """
         if self._ask_at is None or now < self._ask_at:
             return None
         newer = self._get_newer()
@@ -86,17 +90,17 @@
             return None
         fresh = [peer for peer in newer if peer not in self._tried]
         if not fresh:
-            # All were silent: their answers may have been lost with their links.
+            # No peer has answered. Their answers may have been lost with their links, so try again.
             self._tried.clear()
             fresh = newer
         peer = fresh[min(int(draw * len(fresh)), len(fresh) - 1)]
         self._tried.add(peer)
         version, size_bytes = self._holders[peer]
-        self._ask_at = now + get_copy_s(size_bytes)
+        self._ask_at = now + get_copy_timeout_s(size_bytes)
         return VersionRequest(peer=peer, version=version)
 
     def _get_newer(self) -> list[str]:
-        """Return the peers that have the newest version, if it is newer than the one here."""
+        """Return the peers with the newest version, if it is newer than the local one."""
         newest = max((version for version, _ in self._holders.values()), default=-1)
         if newest <= self._known:
             return []
--- a/dalemast/core/evacuations/__init__.py
+++ b/dalemast/core/evacuations/__init__.py
@@ -1,4 +1,4 @@
-"""Evacuations: data centres to whose workers operators want nothing new sent for a while."""
+"""Evacuations: data centres whose workers are temporarily given no new work by operators."""
 
 from dalemast.core.evacuations.base import EvacuationChanges, Evacuations
 from dalemast.core.evacuations.records import EvacuationRecord, EvacuationView
--- a/dalemast/core/evacuations/base.py
+++ b/dalemast/core/evacuations/base.py
@@ -1,4 +1,4 @@
-"""What is said of evacuations."""
+"""Reports of evacuations."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Evacuations:
-    """The data centres that are evacuated as of one version of the store, and no others."""
+    """All data centres that are evacuated as of one version of the store."""
 
     version: int
     data_centres: frozenset[str]
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class EvacuationChanges:
-    """What one answer of the store says of evacuations, as of ``version``.
+    """The evacuations in one answer of the store, as of ``version``.
 
-    If ``is_whole`` is set, ``begun`` are all that there are. Otherwise ``begun`` and ``ended`` are
-    what has changed since the answer before.
+    If ``is_whole`` is set, ``begun`` contains all evacuated data centres. Otherwise ``begun`` and
+    ``ended`` are the changes since the previous answer.
     """
 
     version: int
--- a/dalemast/core/evacuations/records.py
+++ b/dalemast/core/evacuations/records.py
@@ -1,4 +1,4 @@
-"""How evacuations are followed in the store, and which of several reports is believed."""
+"""Evacuations as followed in the store and as reported by other processes."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class EvacuationRecord:
-    """The evacuations as the answers of one feed of the store tell them, in their order."""
+    """The evacuations according to the answers of one feed of the store, applied in order."""
 
     def __init__(self) -> None:
         self._data_centres: frozenset[str] = frozenset()
 
     def apply(self, changes: EvacuationChanges) -> Evacuations:
-        """Take in one answer and return the evacuations as of its version.
+        """Apply one answer and return the evacuations as of its version.
 
-        A whole answer also ends what it does not name: the removal of a row is not told any more
-        once the store has forgotten its history.
+        A whole answer also ends evacuations that it does not contain: once the store has dropped
+        its history, it no longer reports the removal of a row.
         """
         before = frozenset() if changes.is_whole else self._data_centres - changes.ended
         self._data_centres = before | changes.begun
@@ -25,11 +25,11 @@
 
 
 class EvacuationView:
-    """The newest evacuations that one process has heard of, from the store or from others.
+    """The newest evacuations that one process has received, from the store or from others.
 
-    Reports name the version of the store that they are true of, and overtake one another on their
-    ways. The version here never goes down, so an evacuation that was taken back does not return,
-    and one in force is not lifted by an old report.
+    Reports may arrive out of order, so each carries the version of the store that it reflects. The
+    version here never decreases, so that an old report neither restores an evacuation that has
+    ended nor ends one in force.
     """
 
     def __init__(self) -> None:
@@ -42,13 +42,14 @@
 
     @property
     def data_centres(self) -> frozenset[str]:
-        """The data centres that are evacuated by the newest report."""
+        """The evacuated data centres according to the newest report."""
         return frozenset() if self._current is None else self._current.data_centres
 
     def offer(self, offered: Evacuations) -> bool:
-        """Take a report if it is newer; return whether that says anything new of a data centre.
+        """Accept a report if it is newer; return whether it changes the evacuated data centres.
 
-        The first report is always news: others may still believe an evacuation that it ends.
+        The first report always counts as a change, since others may still apply an evacuation that
+        has ended.
         """
         before = self._current
         if before is not None and offered.version <= before.version:
@@ -57,7 +58,7 @@
         return before is None or before.data_centres != offered.data_centres
 
     def contradicts(self, offered: Evacuations) -> bool:
-        """Tell whether a report is out of date and wrong, so that its sender had better be told."""
+        """Return whether a report is outdated and wrong, so that its sender should be updated."""
         current = self._current
         if current is None or offered.version >= current.version:
             return False
--- a/dalemast/core/ownership/__init__.py
+++ b/dalemast/core/ownership/__init__.py
@@ -1,6 +1,6 @@
-"""One owner at a time for a job's id, and the entries that an agent offers its worker to.
+"""Claims on job ids, and the choice of the entries that an agent is linked to.
 
-Both are agreed on without a write to the store.
+Neither needs a write to the store.
 """
 
 from dalemast.core.ownership.claims import Claims, Granted, Held
--- a/dalemast/core/ownership/claims.py
+++ b/dalemast/core/ownership/claims.py
@@ -1,7 +1,7 @@
 """The claims that one entry keeps as the home of job ids.
 
-A claim ends when its owner releases it, or once the owner has been out of reach for so long that
-whatever it started has surely ended.
+A claim ends when its owner releases it, or once the owner has been unreachable for so long that all
+of its runs have certainly ended.
 """
 
 from __future__ import annotations
@@ -14,22 +14,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Granted:
-    """The claim is the asker's."""
+    """The claim is granted to the requesting owner."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Held:
-    """Another owner has it. ``free_at`` is when it lapses, if the owner is out of reach."""
+    """Another owner holds the claim.
+
+    ``free_at`` is when it lapses; None while that owner is reachable.
+    """
 
     owner: str
     free_at: float | None
 
 
 class Claims:
-    """Claims by job id. Owners are named by their incarnation. Times are seconds, steady.
+    """Claims by job id. Owners are identified by their incarnation.
 
-    An id may have several owners here: one that was granted it, and others that tell that they have
-    it by another entry's grant. It is free once all of them have released it or lapsed.
+    An id may have several owners: one to which it was granted here, and others that report a grant
+    by another entry. It is free once each of them has released it or has lapsed. Times are readings
+    of a steady clock, in seconds.
     """
 
     def __init__(self, *, lapse_s: float) -> None:
@@ -41,7 +45,7 @@
         return len(self._owners)
 
     def claim(self, job_id: str, owner: str, *, now: float) -> Granted | Held:
-        """Claim an id for an owner; a claim that it alone has already is granted again."""
+        """Claim an id for an owner. A claim that the owner alone already holds is granted again."""
         held = self.find_other(job_id, owner, now=now)
         if held is not None:
             return held
@@ -49,35 +53,35 @@
         return Granted()
 
     def record_reported(self, job_id: str, owner: str) -> bool:
-        """Note that an owner says it has an id; return whether that is news."""
+        """Record that an owner reports that it holds an id; return whether that is new."""
         owners = self._owners.setdefault(job_id, set())
         is_news = owner not in owners
         owners.add(owner)
         return is_news
 
     def find_other(self, job_id: str, owner: str, *, now: float) -> Held | None:
-        """Return who else has an id, of several the one that lapses last."""
+        """Return another owner's claim on an id, or None. Of several, return the last to lapse."""
         others = self._owners.get(job_id, set()) - {owner}
         held = [Held(owner=other, free_at=self._get_free_at(other)) for other in sorted(others)]
         return max((row for row in held if _get_end(row) > now), key=_get_end, default=None)
 
     def release(self, job_id: str, owner: str) -> None:
-        """End an owner's claim; nothing runs of it any more."""
+        """Release an owner's claim, once none of the job's tasks runs any more."""
         owners = self._owners.get(job_id, set())
         owners.discard(owner)
         if not owners:
             self._owners.pop(job_id, None)
 
     def note_unreachable(self, owner: str, *, now: float) -> None:
-        """Note that an owner is out of reach since now."""
+        """Record that an owner has become unreachable."""
         self._lost.setdefault(owner, now)
 
     def note_reachable(self, owner: str) -> None:
-        """Note that an owner is in reach again."""
+        """Record that an owner is reachable again."""
         self._lost.pop(owner, None)
 
     def sweep(self, *, now: float) -> None:
-        """Forget owners that have been out of reach for long, and their claims."""
+        """Remove owners that have lapsed, and their claims."""
         gone = {owner for owner, at in self._lost.items() if now >= at + self._lapse_s}
         if not gone:
             return
@@ -92,5 +96,5 @@
 
 
 def _get_end(held: Held) -> float:
-    """Return when a claim lapses; infinity if its owner is in reach."""
+    """Return when a claim lapses; infinity if its owner is reachable."""
     return math.inf if held.free_at is None else held.free_at
--- a/dalemast/core/ownership/rendezvous.py
+++ b/dalemast/core/ownership/rendezvous.py
@@ -1,4 +1,4 @@
-"""Which entry keeps the claim on a job's id: rendezvous hashing over the entries in reach."""
+"""Rendezvous hashing, which chooses the entry that keeps the claim on a job's id."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def choose_home(job_id: str, entries: Iterable[str]) -> str:
-    """Return the entry with the highest hash together with the id; there must be one."""
+    """Return the entry with the highest hash for a job's id. ``entries`` must not be empty."""
     return max(entries, key=lambda entry: _score(job_id, entry))
 
 
 def rank_entries(key: str, entries: Iterable[str]) -> list[str]:
-    """Return entries by their hash together with a key, the highest first."""
+    """Return entries by their hash for a key, highest first."""
     return sorted(entries, key=lambda entry: _score(key, entry), reverse=True)
 
 
--- a/dalemast/core/workloads/__init__.py
+++ b/dalemast/core/workloads/__init__.py
@@ -1,4 +1,4 @@
-"""What callers ask for on a platform with leased workers: queues, jobs, steps and tasks."""
+"""Queues, jobs, steps and tasks as callers request them on a platform with leased workers."""
 
 from dalemast.core.workloads.base import JobRequest, Resources, StepRequest, TaskKey
 from dalemast.core.workloads.exceptions import (
--- a/dalemast/core/workloads/base.py
+++ b/dalemast/core/workloads/base.py
@@ -1,4 +1,4 @@
-"""Jobs, steps and tasks as callers declare them, free of any wire format."""
+"""Jobs, steps and tasks as callers declare them, independent of the wire format."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Resources:
-    """What a task takes or a worker has: thousandths of a core, MB of memory, whole GPUs."""
+    """Resources of a task or a worker: thousandths of a core, MB of memory and whole GPUs."""
 
     cpu: int = 0
     memory_mb: int = 0
     gpu: int = 0
 
-    def fits(self, room: Resources) -> bool:
-        """Tell whether this much is to be had in ``room``."""
-        return self.cpu <= room.cpu and self.memory_mb <= room.memory_mb and self.gpu <= room.gpu
+    def fits(self, free: Resources) -> bool:
+        """Return whether these resources are available in ``free``."""
+        return self.cpu <= free.cpu and self.memory_mb <= free.memory_mb and self.gpu <= free.gpu
 
     def __add__(self, other: Resources) -> Resources:
         return Resources(
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StepRequest:
-    """Tasks of one kind. They may begin once all steps named by ``after`` are done.
+    """Tasks of one kind, which may begin once all steps listed in ``after`` are done.
 
-    ``estimate_s`` is the caller's rough guess of one task's run time. ``label`` must be among the
-    worker's labels when it is set. ``data_rack`` is the rack that holds the data; elsewhere a task
-    takes longer. ``max_per_worker`` of 0 sets no bound.
+    ``estimate_s`` is the caller's estimate of one task's run time, in seconds. A ``label``, if set,
+    must be among the worker's labels. ``data_rack`` is the rack that holds the data; tasks take
+    longer in other racks. A ``max_per_worker`` of 0 means no limit.
     """
 
     count: int
@@ -65,9 +65,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobRequest:
-    """A job as it arrived. ``id`` is the caller's own; ``payload`` is passed on untouched.
+    """A job as submitted. ``id`` is chosen by the caller; ``payload`` is passed on unchanged.
 
-    ``timeout_s`` is how long the caller waits for the answer, from the arrival.
+    ``timeout_s`` is how long the caller waits for the answer after the arrival, in seconds.
     """
 
     id: str
@@ -78,16 +78,19 @@
 
     @property
     def core_seconds(self) -> float:
-        """The work the caller declares, in seconds of one core."""
+        """The declared work, in core-seconds."""
         return sum(step.count * step.estimate_s * step.resources.cpu / 1000 for step in self.steps)
 
     @property
     def chain_s(self) -> float:
-        """The declared run time of the longest chain of steps."""
+        """The declared run time of the longest chain of steps, in seconds."""
         return self.get_longest_chain(lambda _, step: step.estimate_s)
 
     def get_longest_chain(self, get_run_s: Callable[[int, StepRequest], float]) -> float:
-        """Return the run time of the longest chain of steps, by number and step, in seconds."""
+        """Return the run time of the longest chain of dependent steps, in seconds.
+
+        ``get_run_s`` returns the run time of a step, given its number and the step.
+        """
         ends: list[float] = []
         for number, step in enumerate(self.steps):
             begin = max((ends[earlier] for earlier in step.after), default=0.0)
--- a/dalemast/core/workloads/exceptions.py
+++ b/dalemast/core/workloads/exceptions.py
@@ -1,4 +1,4 @@
-"""Why a job is not taken."""
+"""Errors raised when a job is rejected, refused or given up."""
 
 from __future__ import annotations
 
--- a/dalemast/core/workloads/queues.py
+++ b/dalemast/core/workloads/queues.py
@@ -1,4 +1,4 @@
-"""Queues as operators configure them, and the choice of one for a request."""
+"""Queues as operators configure them, and the lookup of the queue for a request."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 class Queue:
     """A queue and the service whose workers run its tasks.
 
-    ``priority`` 0 is the most urgent. ``attempts`` is how many failed runs of one task fail its
-    job. A job is on time within ``stretch`` times its longest chain plus ``slack_s``.
-    ``needs_advice`` says that only some workers may run a step and that another service knows
-    which.
+    A ``priority`` of 0 is the most urgent. A job fails once one of its tasks has failed
+    ``attempts`` times. A job is on time if it takes at most ``stretch`` times its longest chain
+    plus ``slack_s``. ``needs_advice`` tells that only some workers may run a step, and that another
+    service knows which.
     """
 
     name: str
@@ -31,12 +31,12 @@
     needs_advice: bool = False
 
     def get_objective_s(self, chain_s: float) -> float:
-        """Return the time within which a job of this chain is on time."""
+        """Return the maximum duration of a job that is on time, in seconds."""
         return self.stretch * chain_s + self.slack_s
 
 
 class QueueTable:
-    """One version of the configuration, ready for look-ups. Versions only rise."""
+    """The queues of one version of the configuration, indexed by host name."""
 
     def __init__(self, *, version: int, queues: tuple[Queue, ...]) -> None:
         self._version = version
@@ -52,7 +52,7 @@
         return self._version
 
     def find(self, *, host: str, path: str) -> Queue:
-        """Return the queue with the longest prefix; raises :class:`QueueUnknown`."""
+        """Return the queue with the longest matching prefix, or raise :class:`QueueUnknown`."""
         for queue in self._by_host.get(host.lower(), ()):
             if path.startswith(queue.prefix):
                 return queue
--- a/dalemast/fleet/entry/news.py
+++ b/dalemast/fleet/entry/news.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from dalemast import clock
-from dalemast.core.catch_up import CopyLimit, MissingVersion, get_copy_s
+from dalemast.core.catch_up import CopyLimit, MissingVersion, get_copy_timeout_s
 from dalemast.fleet.base import Configuration
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.peer_sessions import PeerSession
@@ -56,7 +56,7 @@
         name = session.name
         if not name:
             return
-        self._copies.note_arrived(name)
+        self._copies.release(name)
         self._missing.note_peer(name, news.version, news.size_bytes, now=clock.monotonic())
 
     def give(self, session: PeerSession, ask: ConfigurationAsk) -> None:
@@ -67,8 +67,8 @@
         current = self._configuration.current
         if current is None or current.version < ask.version or session.is_relayed:
             return
-        copy_s = get_copy_s(len(self._encoded))
-        if not self._copies.take(session.name, now=clock.monotonic(), copy_s=copy_s):
+        copy_s = get_copy_timeout_s(len(self._encoded))
+        if not self._copies.acquire(session.name, now=clock.monotonic(), copy_s=copy_s):
             session.link.send(ConfigurationLater(version=ask.version))
             return
         log_event("configuration:given", peer=session.name, version=current.version)
@@ -86,7 +86,7 @@
     def forget(self, name: str) -> None:
         """Note that a peer is out of reach."""
         self._missing.forget_peer(name)
-        self._copies.note_arrived(name)
+        self._copies.release(name)
 
     def tick(self, now: float) -> None:
         """Ask a peer for the version that is missing here, if that is due."""
--- a/tests/core/evacuations/test_records.py
+++ b/tests/core/evacuations/test_records.py
@@ -1,4 +1,4 @@
-"""Evacuations by reports that are lost, overtake one another, or come after a forgotten history."""
+"""Evacuations by reports that are lost, out of order, or follow a dropped history."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ModelStore:
-    """The truth: what is evacuated as of each version."""
+    """The evacuated data centres as of each version."""
 
     def __init__(self) -> None:
         self.history: list[frozenset[str]] = [frozenset()]
@@ -40,7 +40,7 @@
         return EvacuationChanges(version=self.version, begun=self.history[-1], is_whole=True)
 
     def follow(self, since: int) -> EvacuationChanges:
-        """Return the newest state of whatever has changed, as a feed of rows does."""
+        """Return the changes since a version, as a feed of rows does."""
         later = self.history[since:]
         changed = frozenset().union(*(one ^ two for one, two in pairwise(later)))
         return EvacuationChanges(
@@ -51,7 +51,7 @@
 
 
 class ModelEntry:
-    """What one entry has heard, from the store and from others."""
+    """What one entry has received, from the store and from others."""
 
     def __init__(self) -> None:
         self.record = EvacuationRecord()
@@ -59,12 +59,12 @@
         self.followed: int | None = None
 
     def read(self, store: ModelStore) -> None:
-        self._take(store.read())
+        self._apply(store.read())
 
     def follow(self, store: ModelStore) -> None:
-        self._take(store.read() if self.followed is None else store.follow(self.followed))
+        self._apply(store.read() if self.followed is None else store.follow(self.followed))
 
-    def _take(self, changes: EvacuationChanges) -> None:
+    def _apply(self, changes: EvacuationChanges) -> None:
         self.followed = changes.version
         self.view.offer(self.record.apply(changes))
 
@@ -109,13 +109,13 @@
 
 
 class EvacuationRecordTests(testtools.TestCase):
-    def test_a_whole_answer_ends_what_it_does_not_name(self) -> None:
+    def test_a_whole_answer_ends_evacuations_that_it_does_not_contain(self) -> None:
         record = EvacuationRecord()
         record.apply(EvacuationChanges(version=3, begun=frozenset({"waco"})))
         whole = EvacuationChanges(version=9, begun=frozenset({"austin"}), is_whole=True)
         self.assertEqual(report(9, "austin"), record.apply(whole))
 
-    def test_an_answer_without_changes_still_brings_its_version(self) -> None:
+    def test_an_answer_without_changes_updates_the_version(self) -> None:
         record = EvacuationRecord()
         record.apply(EvacuationChanges(version=3, begun=frozenset({"waco"})))
         self.assertEqual(
@@ -124,18 +124,18 @@
 
 
 class EvacuationViewTests(testtools.TestCase):
-    def test_the_first_report_is_news_even_if_nothing_is_evacuated(self) -> None:
-        """Agents may still believe what was told by an entry of before a loss of power."""
+    def test_the_first_report_is_a_change_even_if_nothing_is_evacuated(self) -> None:
+        """Agents may still apply an evacuation reported before all entries were restarted."""
         self.assertTrue(EvacuationView().offer(report(5)))
 
-    def test_a_newer_version_of_the_same_is_no_news_but_counts(self) -> None:
+    def test_a_newer_version_without_a_change_updates_the_version(self) -> None:
         view = EvacuationView()
         view.offer(report(5, "waco"))
         self.assertFalse(view.offer(report(9, "waco")))
         self.assertFalse(view.offer(report(7)))
         self.assertEqual(frozenset({"waco"}), view.data_centres)
 
-    def test_an_old_report_contradicts_only_if_it_is_wrong(self) -> None:
+    def test_an_old_report_contradicts_only_if_it_differs(self) -> None:
         view = EvacuationView()
         view.offer(report(5, "waco"))
         self.assertTrue(view.contradicts(report(4)))
--- a/tests/core/ownership/test_claims.py
+++ b/tests/core/ownership/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: one owner at a time, and when another may follow."""
+"""Claims on job ids: when another owner may claim an id, and the choice of its home."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
         super().setUp()
         self.claims = Claims(lapse_s=LAPSE_S)
 
-    def test_the_second_owner_is_told_of_the_first(self) -> None:
+    def test_a_second_owner_receives_the_name_of_the_first(self) -> None:
         self.assertEqual(Granted(), self.claims.claim("a", "o1", now=0.0))
         self.assertEqual(Held(owner="o1", free_at=None), self.claims.claim("a", "o2", now=0.0))
 
@@ -24,14 +24,14 @@
         self.claims.claim("a", "o1", now=0.0)
         self.assertEqual(Granted(), self.claims.claim("a", "o1", now=5.0))
 
-    def test_a_release_by_another_changes_nothing(self) -> None:
+    def test_a_release_by_another_owner_is_ignored(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
         self.claims.release("a", "o2")
         self.assertIsInstance(self.claims.claim("a", "o2", now=0.0), Held)
         self.claims.release("a", "o1")
         self.assertEqual(Granted(), self.claims.claim("a", "o2", now=0.0))
 
-    def test_the_claim_of_a_lost_owner_lapses_when_its_runs_have_ended(self) -> None:
+    def test_the_claim_of_an_unreachable_owner_lapses(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
         self.claims.note_unreachable("o1", now=1.0)
         self.assertEqual(
@@ -39,21 +39,21 @@
         )
         self.assertEqual(Granted(), self.claims.claim("a", "o2", now=1.0 + LAPSE_S))
 
-    def test_an_owner_that_is_back_keeps_its_claim(self) -> None:
+    def test_an_owner_that_is_reachable_again_keeps_its_claim(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
         self.claims.note_unreachable("o1", now=1.0)
         self.claims.note_reachable("o1")
         self.claims.sweep(now=9.0)
         self.assertIsInstance(self.claims.claim("a", "o2", now=9.0), Held)
 
-    def test_claims_of_owners_that_are_gone_are_forgotten(self) -> None:
+    def test_lapsed_claims_are_removed(self) -> None:
         self.claims.claim("a", "o1", now=0.0)
         self.claims.note_unreachable("o1", now=1.0)
         self.claims.sweep(now=3.0)
         self.assertEqual(0, len(self.claims))
 
-    def test_an_id_that_two_owners_have_is_free_once_both_released_it(self) -> None:
-        """One was granted it here, and the other tells that it has it by another entry's grant."""
+    def test_an_id_with_two_owners_is_free_once_both_released_it(self) -> None:
+        """One was granted it here, and the other reports a grant by another entry."""
         self.claims.claim("a", "o1", now=0.0)
         self.assertTrue(self.claims.record_reported("a", "o2"))
         self.assertFalse(self.claims.record_reported("a", "o2"))
@@ -63,7 +63,7 @@
         self.claims.release("a", "o2")
         self.assertEqual(Granted(), self.claims.claim("a", "o3", now=0.0))
 
-    def test_of_two_owners_the_one_that_lapses_last_is_named(self) -> None:
+    def test_of_two_owners_the_last_to_lapse_is_returned(self) -> None:
         for owner, lost_at in (("o1", 1.0), ("o2", 2.0)):
             self.claims.record_reported("a", owner)
             self.claims.note_unreachable(owner, now=lost_at)
--- a/tests/core/test_given_up.py
+++ b/tests/core/test_given_up.py
@@ -1,4 +1,4 @@
-"""An owner and a gate that meet again after the owner has given the worker up."""
+"""An owner and a gate that reconnect after the owner has given up the worker."""
 
 from __future__ import annotations
 
@@ -24,12 +24,9 @@
 
 
 class GivenUpTests(testtools.TestCase):
-    """An owner that gave a worker up numbers its frames anew, and the agent has to know.
+    """An owner that gave up a worker restarts its frame numbers, so the agent must reset too.
 
-    It took the session as over since it could not reach the agent for a while, or since operators
-    took the endpoint away for a moment. The agent went on with the same session and passed over
-    each frame whose number it had seen before: tasks sent there were lost without a word, up to
-    their deadlines. A link of the endpoint that came back was refused as older than the last one.
+    Otherwise the agent would drop the new frames as duplicates and refuse the new link as outdated.
     """
 
     def setUp(self) -> None:
@@ -63,7 +60,7 @@
         self.owner.apply_configuration()
 
     def link(self) -> bool:
-        """Connect; return whether the agent took the link."""
+        """Connect; return whether the agent accepted the link."""
         hello = self.owner.make_hello("e")
         assert hello is not None
         opened = self.gate.open_link(now=self.now, hello=hello)
@@ -82,7 +79,7 @@
         self.gate.close_link(now=self.now, owner="o", connection=self.connection)
 
     def submit(self) -> list[RunTask]:
-        """Submit a job of one task and return what the agent starts."""
+        """Submit a job of one task; return the tasks that the agent starts."""
         request = JobRequest(
             account="a",
             service="s",
@@ -93,10 +90,10 @@
             size_bytes=10,
         )
         self.owner.submit(now=self.now, request=request)
-        return self.carry()
+        return self.exchange()
 
-    def carry(self) -> list[RunTask]:
-        """Carry what is due both ways, and return what the agent starts."""
+    def exchange(self) -> list[RunTask]:
+        """Deliver due frames in both directions; return the tasks that the agent starts."""
         runs: list[RunTask] = []
         for _ in range(3):
             for _, frame in self.owner.collect(now=self.now).frames:
@@ -108,12 +105,12 @@
         return runs
 
     def end(self, run: RunTask) -> None:
-        """End a run well."""
+        """Complete a run successfully."""
         outcome = TaskOutcome(owner="o", job=run.job, index=run.index, kind=OutcomeKind.ANSWERED)
         self.gate.complete(now=self.now, outcome=outcome)
-        self.carry()
+        self.exchange()
 
-    def test_a_worker_that_was_given_up_takes_tasks_once_it_is_back(self) -> None:
+    def test_a_worker_that_was_given_up_accepts_tasks_after_reconnecting(self) -> None:
         (first,) = self.submit()
         self.unlink()
         self.owner.lose_worker(worker="e")
@@ -124,7 +121,7 @@
         self.end(second)
         self.assertEqual((0, 0), (self.owner.open_jobs, self.gate.running))
 
-    def test_what_waited_for_a_slot_when_it_was_given_up_does_not_start(self) -> None:
+    def test_a_task_queued_when_the_worker_was_given_up_does_not_start(self) -> None:
         """Its job has ended, and its caller was told that it may have run."""
         (first,) = self.submit()
         self.assertEqual([], self.submit())
@@ -136,7 +133,7 @@
         self.end(first)
         self.assertEqual(1, self.gate.started)
 
-    def test_an_endpoint_that_was_taken_away_takes_tasks_once_it_is_back(self) -> None:
+    def test_an_endpoint_that_was_removed_accepts_tasks_once_it_is_added_again(self) -> None:
         (first,) = self.submit()
         self.end(first)
         self.unlink()
--- a/tests/core/test_jobs.py
+++ b/tests/core/test_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, verdicts and the table of moves."""
+"""Jobs, verdicts and the allowed task state transitions."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
         self.assertTrue(job.is_answered)
         self.assertEqual([bytes(a) for a in job.finish().answers], [b"%d" % n for n in range(6)])
 
-    def test_failed_job_has_no_answers(self) -> None:
+    def test_a_failed_job_has_no_answers(self) -> None:
         job = make_job(2)
         (index,) = job.take_waiting(1)
         job.move(index, TaskState.SENT)
@@ -70,14 +70,14 @@
         self.assertEqual(result.answers, ())
         self.assertEqual(result.run, Run.RAN)
 
-    def test_moves_outside_the_table_are_bugs(self) -> None:
+    def test_transitions_outside_the_table_raise(self) -> None:
         for current in TaskState:
             for wanted in set(TaskState) - ALLOWED_MOVES[current]:
                 job = make_job(1)
                 job._states[0] = current
                 self.assertRaises(IllegalMove, job.move, 0, wanted)
 
-    def test_nothing_that_may_have_started_can_wait_again(self) -> None:
+    def test_a_task_that_may_have_started_never_waits_again(self) -> None:
         for state in (TaskState.DONE, TaskState.FAILED, TaskState.LOST):
             self.assertNotIn(TaskState.WAITING, ALLOWED_MOVES[state])
             self.assertNotIn(TaskState.REVOKED, ALLOWED_MOVES[state])
