--- a/dalemast/core/catch_up/__init__.py
+++ b/dalemast/core/catch_up/__init__.py
@@ -3,4 +3,4 @@
 from dalemast.core.catch_up.copies import CopyLimit
 from dalemast.core.catch_up.missing import MissingVersion, VersionRequest, get_copy_timeout_s
 
-__all__ = ["VersionRequest", "CopyLimit", "MissingVersion", "get_copy_timeout_s"]
+__all__ = ["CopyLimit", "MissingVersion", "VersionRequest", "get_copy_timeout_s"]
--- a/dalemast/core/catch_up/missing.py
+++ b/dalemast/core/catch_up/missing.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["VersionRequest", "MissingVersion", "get_copy_timeout_s"]
+__all__ = ["MissingVersion", "VersionRequest", "get_copy_timeout_s"]
 
 HEAD_START_S = 0.4
 """How long after its announcement a version is expected from the store alone. It leaves most of the
@@ -48,55 +48,55 @@
         self._known = -1
         self._holders: dict[str, tuple[int, int]] = {}
         """By peer, its version and the size of that version in bytes."""
-        self._tried: set[str] = set()
-        """Peers that have been requested to send the version and have not deferred it."""
-        self._ask_at: float | None = None
+        self._requested: set[str] = set()
+        """Peers that were sent a request since their last announcement and have not deferred it."""
+        self._request_at: float | None = None
 
     def note_own(self, version: int) -> None:
         """Record the version that is in force in this process."""
         self._known = max(self._known, version)
         if not self._get_newer():
-            self._ask_at = None
-            self._tried.clear()
+            self._request_at = None
+            self._requested.clear()
 
     def note_peer(self, peer: str, version: int, size_bytes: int, *, now: float) -> None:
         """Record the version that a peer announced."""
         self._holders[peer] = (version, size_bytes)
-        self._tried.discard(peer)
-        if version > self._known and self._ask_at is None:
-            self._ask_at = now + (FIRST_HEAD_START_S if self._known < 0 else HEAD_START_S)
+        self._requested.discard(peer)
+        if version > self._known and self._request_at is None:
+            self._request_at = now + (FIRST_HEAD_START_S if self._known < 0 else HEAD_START_S)
 
     def forget_peer(self, peer: str) -> None:
         """Remove a peer that is unreachable."""
         self._holders.pop(peer, None)
-        self._tried.discard(peer)
+        self._requested.discard(peer)
 
     def note_deferred(self, peer: str, *, now: float) -> None:
-        """Record that a peer is busy sending copies to others; it may be requested again."""
-        self._tried.discard(peer)
-        if self._ask_at is not None:
-            self._ask_at = now + DEFERRED_PAUSE_S
+        """Record that a peer is busy sending copies to others; it may get another request."""
+        self._requested.discard(peer)
+        if self._request_at is not None:
+            self._request_at = now + DEFERRED_PAUSE_S
 
     def take_due(self, *, now: float, draw: float) -> VersionRequest | None:
         """Return the request that is due now, if any.
 
         ``draw``, a random number from 0 to 1, selects one of several peers.
         """
-        if self._ask_at is None or now < self._ask_at:
+        if self._request_at is None or now < self._request_at:
             return None
         newer = self._get_newer()
         if not newer:
-            self._ask_at = None
+            self._request_at = None
             return None
-        fresh = [peer for peer in newer if peer not in self._tried]
+        fresh = [peer for peer in newer if peer not in self._requested]
         if not fresh:
             # No peer has answered. Their answers may have been lost with their links, so try again.
-            self._tried.clear()
+            self._requested.clear()
             fresh = newer
         peer = fresh[min(int(draw * len(fresh)), len(fresh) - 1)]
-        self._tried.add(peer)
+        self._requested.add(peer)
         version, size_bytes = self._holders[peer]
-        self._ask_at = now + get_copy_timeout_s(size_bytes)
+        self._request_at = now + get_copy_timeout_s(size_bytes)
         return VersionRequest(peer=peer, version=version)
 
     def _get_newer(self) -> list[str]:
--- a/dalemast/core/supervision/actions.py
+++ b/dalemast/core/supervision/actions.py
@@ -12,10 +12,10 @@
     "OrderStart",
     "OrderStop",
     "PreemptRun",
+    "ReportCapacity",
+    "ReportDeparture",
     "ReportDepartureRisk",
     "ReportEnd",
-    "ReportDeparture",
-    "ReportCapacity",
     "ReportSlow",
 ]
 
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -26,7 +26,7 @@
 """Share of the core-seconds of successful runs that may be lost to preemption. Under overload other
 callers wait for this capacity, so the cost to them is bounded."""
 BUDGET_CAP_S = 5.0
-"""The budget saved up for a burst is at most that of a full worker in so many seconds."""
+"""Upper bound of the saved budget: what a fully used worker earns in this many seconds."""
 PROGRESS_SHARE = 0.5
 """Share of a run after which it is not preempted, since finishing it takes less than a restart."""
 MIN_GAIN = 2.0
--- a/tests/core/catch_up/test_missing.py
+++ b/tests/core/catch_up/test_missing.py
@@ -17,14 +17,14 @@
     requests = []
     for number in range(round(end / 0.05)):
         now = number * 0.05
-        ask = missing.take_due(now=now, draw=0.0)
-        if ask is not None:
-            requests.append((now, ask))
+        request = missing.take_due(now=now, draw=0.0)
+        if request is not None:
+            requests.append((now, request))
     return requests
 
 
 class MissingVersionTests(testtools.TestCase):
-    def test_no_peer_is_requested_during_the_head_start_of_the_store(self) -> None:
+    def test_nothing_is_requested_during_the_head_start_of_the_store(self) -> None:
         missing = MissingVersion()
         missing.note_own(1)
         missing.note_peer("b", 2, SIZE, now=0.0)
@@ -37,32 +37,32 @@
         missing.note_peer("b", 2, SIZE, now=0.0)
         self.assertEqual(VersionRequest(peer="b", version=2), missing.take_due(now=0.1, draw=0.0))
 
-    def test_the_next_peer_is_requested_if_the_first_does_not_answer(self) -> None:
+    def test_the_next_peer_gets_a_request_if_the_first_does_not_answer(self) -> None:
         missing = MissingVersion()
         missing.note_own(1)
         for name in ("b", "c", "d"):
             missing.note_peer(name, 2, SIZE, now=0.0)
         requests = request_until(missing, end=2.5)
-        self.assertEqual(["b", "c"], [ask.peer for _, ask in requests])
+        self.assertEqual(["b", "c"], [request.peer for _, request in requests])
         interval_s = requests[1][0] - requests[0][0]
         self.assertGreaterEqual(interval_s, get_copy_timeout_s(SIZE))
 
-    def test_an_unreachable_peer_is_not_requested(self) -> None:
+    def test_an_unreachable_peer_gets_no_request(self) -> None:
         missing = MissingVersion()
         missing.note_own(1)
         missing.note_peer("b", 2, SIZE, now=0.0)
         missing.note_peer("c", 2, SIZE, now=0.0)
         missing.forget_peer("b")
-        self.assertEqual({"c"}, {ask.peer for _, ask in request_until(missing, end=4.0)})
+        self.assertEqual({"c"}, {request.peer for _, request in request_until(missing, end=4.0)})
 
-    def test_only_peers_with_the_newest_version_are_requested(self) -> None:
+    def test_only_peers_with_the_newest_version_get_requests(self) -> None:
         missing = MissingVersion()
         missing.note_own(1)
         missing.note_peer("b", 2, SIZE, now=0.0)
         missing.note_peer("c", 3, SIZE, now=0.1)
-        self.assertEqual({"c"}, {ask.peer for _, ask in request_until(missing, end=4.0)})
+        self.assertEqual({"c"}, {request.peer for _, request in request_until(missing, end=4.0)})
 
-    def test_a_busy_peer_is_requested_again_soon(self) -> None:
+    def test_a_busy_peer_gets_another_request_soon(self) -> None:
         missing = MissingVersion()
         missing.note_own(1)
         missing.note_peer("b", 2, SIZE, now=0.0)
@@ -95,14 +95,14 @@
                 self._announce(parts, copy[2], now=now)
             for number, (missing, _) in parts.items():
                 draw = ((seed * 31 + number * 17 + step) % 97) / 97
-                ask = missing.take_due(now=now, draw=draw)
-                if ask is None:
+                request = missing.take_due(now=now, draw=draw)
+                if request is None:
                     continue
-                holder = int(ask.peer)
+                holder = int(request.peer)
                 if parts[holder][1].acquire(str(number), now=now, copy_s=get_copy_timeout_s(SIZE)):
                     under_way.append((now + 0.3, holder, number))
                 else:
-                    missing.note_deferred(ask.peer, now=now)
+                    missing.note_deferred(request.peer, now=now)
         return copies
 
     def _announce(
--- a/tests/core/supervision/test_supervisor.py
+++ b/tests/core/supervision/test_supervisor.py
@@ -369,7 +369,7 @@
     def test_jobs_declared_too_short_do_not_make_a_healthy_worker_slow(self) -> None:
         """Owners that have just started know only declared times."""
         runs = [self.run_task(make_start(name)) for name in ("a", "b", "c")]
-        # Ratios of 4.0, 1.5 and 1.4 to the expected time: their arithmetic mean is above SLOW_PACE.
+        # Ratios of 4.0, 1.5 and 1.4 to the expected time: the arithmetic mean would count as slow.
         percents = (25.0, 66.67, 71.43)
         rows = [ListedRun(run, percent) for run, percent in zip(runs, percents, strict=True)]
         self.poll(*rows, now=1.2)
