--- a/dalemast/core/supervision/__init__.py
+++ b/dalemast/core/supervision/__init__.py
@@ -1,4 +1,4 @@
-"""The agent's side: one worker's room, leases and runs, and the word on them to owners."""
+"""Supervision of one worker by its agent: capacity, leases, runs and reports to owners."""
 
 from dalemast.core.supervision.actions import (
     Action,
@@ -35,19 +35,19 @@
 
 __all__ = [
     "Action",
+    "CapacitySubscriber",
     "EndedRun",
     "ListedRun",
-    "PollPlan",
-    "PollSchedule",
     "OrderStart",
     "OrderStop",
+    "PollPlan",
+    "PollSchedule",
     "PreemptRun",
+    "ReportCapacity",
+    "ReportDeparture",
     "ReportDepartureRisk",
     "ReportEnd",
-    "ReportDeparture",
-    "ReportCapacity",
     "ReportSlow",
-    "CapacitySubscriber",
     "Run",
     "RunId",
     "RunPhase",
@@ -57,8 +57,8 @@
     "Supervisor",
     "SupervisorLimits",
     "WorkerHealth",
-    "WorkerLease",
     "WorkerIncarnation",
+    "WorkerLease",
     "find_most_urgent",
     "get_capacity_report_interval_s",
     "get_report_order",
--- a/dalemast/fleet/entry/configuration_exchange.py
+++ b/dalemast/fleet/entry/configuration_exchange.py
@@ -4,14 +4,11 @@
 
 import random
 from collections.abc import Iterable, Mapping
-
-import msgspec
-
 from dalemast import clock
 from dalemast.core.catch_up import (
     CopyLimit,
     MissingVersion,
-    get_copy_s,
+    get_copy_timeout_s,
 )
 from dalemast.fleet.base import Configuration
 from dalemast.fleet.entry.configuration import ConfigurationInForce
@@ -25,6 +22,9 @@
 from dalemast.fleet.links import encode_message
 from dalemast.observability import log_event
 
+import msgspec
+
+
 __all__ = ["ConfigurationExchange"]
 
 
@@ -60,7 +60,7 @@
         name = session.name
         if not name:
             return
-        self._copies.note_arrived(name)
+        self._copies.release(name)
         self._missing.note_peer(name, news.version, news.size_bytes, now=clock.monotonic())
 
     def send_configuration(self, session: PeerSession, ask: ConfigurationRequest) -> None:
@@ -71,8 +71,8 @@
         current = self._configuration.current
         if current is None or current.version < ask.version or session.is_relayed:
             return
-        copy_s = get_copy_s(len(self._encoded))
-        if not self._copies.take(session.name, now=clock.monotonic(), copy_s=copy_s):
+        copy_s = get_copy_timeout_s(len(self._encoded))
+        if not self._copies.acquire(session.name, now=clock.monotonic(), copy_s=copy_s):
             session.link.send(ConfigurationDeferred(version=ask.version))
             return
         log_event("configuration:given", peer=session.name, version=current.version)
@@ -90,7 +90,7 @@
     def forget(self, name: str) -> None:
         """Note that a peer is out of reach."""
         self._missing.forget_peer(name)
-        self._copies.note_arrived(name)
+        self._copies.release(name)
 
     def tick(self, now: float) -> None:
         """Ask a peer for the version that is missing here, if that is due."""
