--- a/dalemast/core/scheduling/__init__.py
+++ b/dalemast/core/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""The owner's side of a job: where its tasks run, when they are tried again, when it is refused."""
+"""Scheduling of jobs at their owner: placement and retries of tasks, and refusal of jobs."""
 
 from dalemast.core.scheduling.actions import (
     Action,
--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -192,10 +192,10 @@
     def _get_task_cost(self, step: StepRequest, view: WorkerView, now: float) -> float:
         return view.get_slowness(now) * self.get_run_factor(step, view)
 
-    def _get_place_cost(self, job: Job, step: StepRequest, worker: WorkerView) -> float:
+    def _get_location_cost(self, job: Job, step: StepRequest, worker: WorkerView) -> float:
         """Return what a worker costs for where it stands, in run times."""
         if job.data_centre is None:
-            border = super()._get_place_cost(job, step, worker)
+            border = super()._get_location_cost(job, step, worker)
         else:
             border = 0.0 if worker.data_centre == job.data_centre else SPLIT_COST
         return border + self._get_rack_charge(step, worker)
--- a/dalemast/core/scheduling/base.py
+++ b/dalemast/core/scheduling/base.py
@@ -1,4 +1,4 @@
-"""The choices of the scheduler that vary."""
+"""Base classes for the order of service and the placement of tasks."""
 
 from __future__ import annotations
 
@@ -15,43 +15,44 @@
 
 
 class BaseOrder(abc.ABC):
-    """In which order jobs with waiting tasks are served."""
+    """Order in which jobs with waiting tasks are served."""
 
     @abc.abstractmethod
     def get_key(self, job: Job, *, now: float) -> tuple[float, ...]:
-        """Return the sort key; the least goes first.
+        """Return the sort key; the lowest key is served first.
 
-        Keys of several owners are compared, so a time in them counts from now.
+        Times in a key must be relative to now, since keys of different owners are compared and
+        their clocks differ.
         """
 
 
 class BasePlacement(abc.ABC):
-    """Which worker a task runs on."""
+    """Choice of the worker that a task runs on."""
 
     @abc.abstractmethod
     def choose(
         self, *, job: Job, step: StepRequest, workers: Iterable[WorkerView], now: float
     ) -> WorkerView | None:
-        """Return one of the workers that have room for the task, or None if none suits."""
+        """Return one of ``workers``, which are eligible for the task, or None to let it wait."""
 
     def get_run_factor(self, step: StepRequest, worker: WorkerView) -> float:
-        """Return how many times as long a task takes on this worker as beside its data."""
+        """Return the run time on this worker relative to one that is close to the data."""
         return 1.0
 
     def note_job(self, request: JobRequest, run_times: RunTimes, *, now: float) -> None:
-        """Take in a job that has arrived."""
+        """Record a job that has arrived."""
         return
 
     def set_demand(self, demand: DemandBook) -> None:
-        """Take what waits at the other entries from a book, which its owner keeps up to date."""
+        """Set the source of the queued work at other entries; the scheduler keeps it up to date."""
         return
 
     def plan(
         self, job: Job, workers: Iterable[WorkerView], run_times: RunTimes, *, now: float
     ) -> None:
-        """Prepare the choices for a job's waiting tasks. ``workers`` may have room or not."""
+        """Prepare the choices for a job's waiting tasks. Some of ``workers`` may be full."""
         return
 
     def describe(self) -> dict[str, object]:
-        """Return what an operator should see of its state."""
+        """Return the state to show to operators."""
         return {}
--- a/dalemast/core/scheduling/choices.py
+++ b/dalemast/core/scheduling/choices.py
@@ -1,4 +1,4 @@
-"""The choice of a worker for a task, among those that have room."""
+"""Selection of workers for tasks."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 
 __all__ = ["ChoiceRound", "WorkerChoice"]
 
-TOO_SLOW = 1.6
-"""How many times slower than the middle one a worker may be before it gets no tasks: most would be
-late there, since objectives are 1.6 times the usual run time and a little more."""
+MAX_RELATIVE_SLOWNESS = 1.6
+"""Workers slower than the median of their service by this factor get no tasks, since most tasks
+would miss their objectives there."""
 
 
-NOTHING_KEPT: Mapping[str, Resources] = MappingProxyType({})
+NOTHING_RESERVED: Mapping[str, Resources] = MappingProxyType({})
 
 
 class WorkerChoice:
-    """The workers in reach, by id; the scheduler adds to them and takes away.
+    """Starts rounds of choices among the reachable workers, which the scheduler keeps up to date.
 
-    ``by_slack`` bounds how slow a worker may be for each job by its slack, in place of for all.
+    With ``by_slack`` the slack of each job bounds how slow its workers may be. Otherwise one bound
+    holds for all jobs of a service.
     """
 
     def __init__(
@@ -42,13 +43,13 @@
         self._by_slack = by_slack
 
     def begin(self, *, now: float) -> ChoiceRound:
-        """Return the workers as they stand now, for the choices that one event brings."""
+        """Return a round of choices for one event, based on the current state of the workers."""
         return ChoiceRound(
             placement=self._placement, workers=self._workers, now=now, by_slack=self._by_slack
         )
 
-    def get_most_free(self) -> dict[str, int]:
-        """Return the most processors that are free on one worker, slow ones too, by service."""
+    def get_max_free_cpu(self) -> dict[str, int]:
+        """Return the maximum CPU that is free on one worker, by service; slow workers count."""
         most: dict[str, int] = {}
         for view in self._workers.values():
             if view.is_accepting:
@@ -57,10 +58,10 @@
 
 
 class ChoiceRound:
-    """Leaves out workers that don't suit a task and lets the placement pick one of the rest.
+    """Filters the workers that are eligible for a task and lets the placement choose one of them.
 
-    What no choice of the round changes, which workers accept and which are too slow, is looked at
-    once for all of them: under overload most tasks that wait find nothing, again and again.
+    Which workers accept tasks and which are too slow does not change within a round, so it is
+    computed once. Under overload most waiting tasks find no capacity, and must be cheap to check.
     """
 
     def __init__(
@@ -76,84 +77,87 @@
         self._now = now
         self._by_slack = by_slack
         self._accepting: dict[str, list[WorkerView]] = {}
-        self._quick: dict[str, list[WorkerView]] = {}
-        self._most_free: dict[str, int] = {}
-        self._roomy: dict[tuple[str, int], list[WorkerView]] = {}
-        """By service and processors, the workers that have so many free."""
-        self._paces: dict[str, float] = {}
-        """By worker that accepts, its slowness."""
-        self._quickest: dict[str, float] = {}
-        """By service, the least of them."""
-
-    def get_most_free(self, service: str) -> int:
-        """Return the most processors that are free on one worker that a choice may pick, or -1."""
-        most = self._most_free.get(service)
+        self._fast_enough: dict[str, list[WorkerView]] = {}
+        self._max_free_cpu: dict[str, int] = {}
+        self._with_capacity: dict[tuple[str, int], list[WorkerView]] = {}
+        """Workers that had enough free CPU, by service and CPU."""
+        self._slowness: dict[str, float] = {}
+        """Slowness of the workers that accept tasks, by id."""
+        self._min_slowness: dict[str, float] = {}
+        """Slowness of the fastest of them, by service."""
+
+    def get_max_free_cpu(self, service: str) -> int:
+        """Return the maximum CPU that is free on one candidate worker, or -1 without candidates."""
+        most = self._max_free_cpu.get(service)
         if most is None:
-            most = max((view.free.cpu for view in self._get_suiting(service)), default=-1)
-            self._most_free[service] = most
+            most = max((view.free.cpu for view in self._get_candidates(service)), default=-1)
+            self._max_free_cpu[service] = most
         return most
 
     def get_accepting(self, service: str) -> list[WorkerView]:
-        """Return the workers of a service that a choice may pick once they have room."""
-        return self._get_quick(service)
+        """Return the workers that accept tasks and are fast enough, whether full or not."""
+        return self._get_fast_enough(service)
 
-    def find_preemptible(self, job: Job, *, begins_at: float) -> list[WorkerView]:
-        """Return the workers that suit a waiting task of a job once they have room for it.
+    def find_preemption_targets(self, job: Job, *, starts_at: float) -> list[WorkerView]:
+        """Return the workers that would be eligible for a waiting task if runs were preempted.
 
-        What begins there at ``begins_at`` must be on time, as far as the worker's speed is known.
+        A task that starts there at ``starts_at`` must be expected to be on time.
         """
         steps = {task.key.step: task for task in job.waiting if not job.holds_back(task)}
-        views = self._get_quick(job.request.queue.service)
-        bound = get_slowest(job, now=begins_at) if self._by_slack else float("inf")
+        views = self._get_fast_enough(job.request.queue.service)
+        bound = get_slowest(job, now=starts_at) if self._by_slack else float("inf")
         return [
             view
             for view in views
-            if any(self._is_worth_clearing(job, task, view, bound) for task in steps.values())
+            if any(self._is_preemption_target(job, task, view, bound) for task in steps.values())
         ]
 
     def note_start(self, service: str) -> None:
-        """Note that room was taken on one of a service's workers."""
-        self._most_free.pop(service, None)
+        """Invalidate the cached free CPU of a service after a start."""
+        self._max_free_cpu.pop(service, None)
 
     def choose(
-        self, job: Job, task: Task, *, kept: Mapping[str, Resources] = NOTHING_KEPT
+        self, job: Job, task: Task, *, reserved: Mapping[str, Resources] = NOTHING_RESERVED
     ) -> WorkerView | None:
         """Return the worker to start a task on, or None if it should wait.
 
-        ``kept`` is room, by worker, that this task must leave free.
+        ``reserved`` is the capacity, by worker, that this task must leave free.
         """
-        return self.pick(job, task, self.find_eligible(job, task, kept=kept))
+        return self.pick(job, task, self.find_eligible(job, task, reserved=reserved))
 
     def pick(self, job: Job, task: Task, workers: list[WorkerView]) -> WorkerView | None:
-        """Return the best of the workers that suit a task, or None if there are none."""
+        """Return the best of the eligible workers, or None if there are none."""
         return self._placement.choose(job=job, step=task.step, workers=workers, now=self._now)
 
     def find_eligible(
-        self, job: Job, task: Task, *, kept: Mapping[str, Resources] = NOTHING_KEPT
+        self, job: Job, task: Task, *, reserved: Mapping[str, Resources] = NOTHING_RESERVED
     ) -> list[WorkerView]:
         """Return the workers on which a task may be started now."""
-        roomy = self._get_roomy(job.request.queue.service, task.step.resources.cpu)
-        workers = [view for view in roomy if _has_room(job, task, view, kept.get(view.name))]
+        with_capacity = self._get_with_capacity(job.request.queue.service, task.step.resources.cpu)
+        workers = [
+            view
+            for view in with_capacity
+            if _has_capacity(job, task, view, reserved.get(view.name))
+        ]
         if self._by_slack and workers:
-            workers = self._leave_out_slow(job, task, workers)
+            workers = self._exclude_slow(job, task, workers)
         if task.avoided and self._has_alternative(job, task):
-            # A task has few attempts: it waits for another worker to have room rather than fail
-            # on the same one again, or on one that fails others'.
+            # Attempts are limited: wait for another worker rather than fail again on the same one,
+            # or on one where other tasks fail.
             workers = [view for view in workers if not _is_avoided(task, view)]
         return workers
 
     def choose_last_resort(self, job: Job, task: Task) -> WorkerView | None:
-        """Return a worker for a task of a job that is refused otherwise, or None.
+        """Return a worker for a task of a job that would otherwise be refused, or None.
 
-        However slow a worker is, and whatever it has declined, it will do while the job can still
-        be of use there.
+        Slow and avoided workers count too, if the job can still end there before its late limit.
         """
         service = job.request.queue.service
-        self._get_quick(service)
+        self._get_fast_enough(service)
         workers = [
             view
             for view in self._accepting[service]
-            if _has_room(job, task, view)
+            if _has_capacity(job, task, view)
             and job.is_of_use(slowness=self._get_run_factor(task, view), now=self._now)
         ]
         others = [view for view in workers if not _is_avoided(task, view)]
@@ -162,22 +166,22 @@
         )
 
     def count_exclusions(self, job: Job, task: Task) -> LeftOut:
-        """Return how many workers of the service each rule leaves out for a task that waits."""
+        """Return how many workers of the service each rule excludes for a waiting task."""
         service = job.request.queue.service
-        suiting = self._get_suiting(service)
-        if self._by_slack and suiting:
-            suiting = self._leave_out_slow(job, task, suiting)
-        quick = {view.name for view in suiting}
-        is_choosy = bool(task.avoided) and self._has_alternative(job, task)
+        eligible = self._get_candidates(service)
+        if self._by_slack and eligible:
+            eligible = self._exclude_slow(job, task, eligible)
+        fast_enough = {view.name for view in eligible}
+        has_alternative = bool(task.avoided) and self._has_alternative(job, task)
         counts: Counter[str] = Counter()
         for view in self._workers.values():
             if view.service == service:
-                rule = _get_rule(job, task, view, is_choosy=is_choosy)
-                counts[rule or ("suiting" if view.name in quick else "too_slow")] += 1
+                rule = _get_exclusion(job, task, view, has_alternative=has_alternative)
+                counts[rule or ("suiting" if view.name in fast_enough else "too_slow")] += 1
         return LeftOut(**counts)
 
     def _has_alternative(self, job: Job, task: Task) -> bool:
-        """Tell whether a worker could take a task, with room or without, that did not fail it."""
+        """Return whether a worker that is not avoided could run a task, ignoring its load."""
         return any(
             not _is_avoided(task, view)
             and _has_label(task, view)
@@ -185,7 +189,7 @@
             for view in self._accepting[job.request.queue.service]
         )
 
-    def _is_worth_clearing(self, job: Job, task: Task, view: WorkerView, bound: float) -> bool:
+    def _is_preemption_target(self, job: Job, task: Task, view: WorkerView, bound: float) -> bool:
         step = task.step
         if not step.resources.fits(view.capacity) or not _has_label(task, view):
             return False
@@ -194,47 +198,48 @@
         return not _is_avoided(task, view) or not self._has_alternative(job, task)
 
     def _get_run_factor(self, task: Task, view: WorkerView) -> float:
-        """Return how many times as long a task takes there as on a usual worker by its data."""
+        """Return the expected run time relative to a usual worker that is close to the data."""
         return view.get_slowness(self._now) * self._placement.get_run_factor(task.step, view)
 
-    def _get_suiting(self, service: str) -> list[WorkerView]:
-        """Return the workers that suit some job."""
-        quick = self._get_quick(service)
-        return self._accepting[service] if self._by_slack else quick
+    def _get_candidates(self, service: str) -> list[WorkerView]:
+        """Return the workers that are eligible for some job if they have capacity."""
+        fast_enough = self._get_fast_enough(service)
+        return self._accepting[service] if self._by_slack else fast_enough
 
-    def _get_roomy(self, service: str, cpu: int) -> list[WorkerView]:
-        """Return the workers that suit some job and had so much room at the round's first look.
+    def _get_with_capacity(self, service: str, cpu: int) -> list[WorkerView]:
+        """Return the candidates that had this much free CPU when the round first checked.
 
-        Starts of the round only take room away.
+        The list is a superset: starts within the round only reduce the free CPU.
         """
         key = (service, cpu)
-        if key not in self._roomy:
-            self._roomy[key] = [view for view in self._get_suiting(service) if view.free.cpu >= cpu]
-        return self._roomy[key]
-
-    def _leave_out_slow(self, job: Job, task: Task, workers: list[WorkerView]) -> list[WorkerView]:
-        """Leave out workers on which a task would be late, or of no use, by its job's slack."""
+        if key not in self._with_capacity:
+            self._with_capacity[key] = [
+                view for view in self._get_candidates(service) if view.free.cpu >= cpu
+            ]
+        return self._with_capacity[key]
+
+    def _exclude_slow(self, job: Job, task: Task, workers: list[WorkerView]) -> list[WorkerView]:
+        """Exclude workers that are too slow for the slack of the job."""
         service = job.request.queue.service
-        bound = get_slowness_bound(job, quickest=self._quickest[service], now=self._now)
+        bound = get_slowness_bound(job, quickest=self._min_slowness[service], now=self._now)
         return [
             view
             for view in workers
-            if self._paces[view.name] * self._placement.get_run_factor(task.step, view) <= bound
+            if self._slowness[view.name] * self._placement.get_run_factor(task.step, view) <= bound
         ]
 
-    def _get_quick(self, service: str) -> list[WorkerView]:
-        """Leave out workers on which tasks would be late, compared with the middle of the service.
+    def _get_fast_enough(self, service: str) -> list[WorkerView]:
+        """Return the accepting workers whose slowness is close enough to the median.
 
-        Compared, since declared times that are off for all alike make all workers look slow. Not
-        with the best: what an owner has learned of one worker is off by a third, so that the best
-        of many looks far better than it is. By simulation without faults up to 18 % of the workers
-        were left out so, as if they were slow.
+        An absolute bound would exclude all workers when declared run times are too low. A bound
+        relative to the fastest one would exclude sound workers: the estimates are noisy, and the
+        lowest of many is far too low.
         """
-        quick = self._quick.get(service)
-        if quick is not None:
-            return quick
+        fast_enough = self._fast_enough.get(service)
+        if fast_enough is not None:
+            return fast_enough
         accepting: list[WorkerView] = []
-        paces: list[float] = []
+        slowness_values: list[float] = []
         pool: list[float] = []
         for view in self._workers.values():
             if view.service != service:
@@ -243,48 +248,57 @@
             pool.append(slowness)
             if view.is_accepting:
                 accepting.append(view)
-                paces.append(slowness)
-                self._paces[view.name] = slowness
-        slowest = TOO_SLOW * median_low(pool) if pool else 0.0
-        quick = [view for view, pace in zip(accepting, paces, strict=True) if pace < slowest]
+                slowness_values.append(slowness)
+                self._slowness[view.name] = slowness
+        slowest = MAX_RELATIVE_SLOWNESS * median_low(pool) if pool else 0.0
+        fast_enough = [
+            view
+            for view, slowness in zip(accepting, slowness_values, strict=True)
+            if slowness < slowest
+        ]
         self._accepting[service] = accepting
-        self._quickest[service] = min(paces, default=0.0)
-        self._quick[service] = quick
-        return quick
+        self._min_slowness[service] = min(slowness_values, default=0.0)
+        self._fast_enough[service] = fast_enough
+        return fast_enough
 
 
 def _is_avoided(task: Task, view: WorkerView) -> bool:
-    """Tell whether a task had better go elsewhere."""
+    """Return whether a task should run on another worker if there is one."""
     return view.name in task.avoided or (task.failures > 0 and view.is_suspect)
 
 
 def _has_label(task: Task, view: WorkerView) -> bool:
-    """Tell whether a worker has the label that a task requires."""
+    """Return whether a worker has the label that a task requires."""
     return not task.step.label or task.step.label in view.labels
 
 
-def _get_rule(job: Job, task: Task, view: WorkerView, *, is_choosy: bool) -> str:
-    """Return the field of :class:`LeftOut` for what leaves a worker out, its speed apart, or ""."""
+def _get_exclusion(job: Job, task: Task, view: WorkerView, *, has_alternative: bool) -> str:
+    """Return the rule that excludes a worker, as a field name of the counts, or "".
+
+    Whether the worker is too slow is not checked here.
+    """
     if not task.step.resources.fits(view.free):
         return "no_room"
     if not view.is_accepting:
         return "evacuated" if view.is_evacuated else "not_accepting"
     if not _has_label(task, view):
         return "label"
-    if not _has_room(job, task, view):
+    if not _has_capacity(job, task, view):
         return "per_worker_limit"
-    return "avoided" if is_choosy and _is_avoided(task, view) else ""
+    return "avoided" if has_alternative and _is_avoided(task, view) else ""
 
 
-def _has_room(job: Job, task: Task, view: WorkerView, kept: Resources | None = None) -> bool:
-    """Tell whether a worker has room for a task now, beside what is kept."""
-    free = view.free if kept is None else view.free - kept
+def _has_capacity(
+    job: Job, task: Task, view: WorkerView, reserved: Resources | None = None
+) -> bool:
+    """Return whether a worker has capacity for a task now, apart from what is reserved."""
+    free = view.free if reserved is None else view.free - reserved
     if not task.step.resources.fits(free) or not _has_label(task, view):
         return False
     return not _is_at_limit(job, task, view)
 
 
 def _is_at_limit(job: Job, task: Task, view: WorkerView) -> bool:
-    """Tell whether as many tasks of a step are on a worker as may be."""
+    """Return whether a worker runs the maximum number of tasks of a step."""
     limit = task.step.max_per_worker
     return bool(limit) and job.count_on(view.name, task.key.step) >= limit
--- a/dalemast/core/scheduling/dispatching.py
+++ b/dalemast/core/scheduling/dispatching.py
@@ -1,7 +1,6 @@
-"""Placing waiting tasks: in the order of service, on workers that suit them, while there is room.
+"""Placement of waiting tasks on workers, in the order of service.
 
-Most calls come under overload, with all workers full, and start nothing; so what can be known to
-find no room is not looked at.
+Under overload most calls start nothing, so tasks that can't fit on any worker are skipped early.
 """
 
 from __future__ import annotations
@@ -22,7 +21,10 @@
 
 
 class Dispatcher:
-    """Starts what waits and says what room is lacked. ``jobs`` are the scheduler's, by id."""
+    """Starts waiting tasks and requests capacity for those that find none.
+
+    ``jobs`` are the scheduler's open jobs, by id.
+    """
 
     def __init__(
         self,
@@ -32,7 +34,7 @@
         placement: BasePlacement,
         choice: WorkerChoice,
         run_times: RunTimes,
-        wants: RoomWants,
+        capacity_requests: RoomWants,
         preemption: Preemption,
     ) -> None:
         self._jobs = jobs
@@ -40,71 +42,73 @@
         self._placement = placement
         self._choice = choice
         self._run_times = run_times
-        self._wants = wants
+        self._capacity_requests = capacity_requests
         self._preemption = preemption
-        self._least_waiting_cpu = 0
+        self._min_waiting_cpu = 0
         self._numbers = itertools.count(1)
-        """Of starts, for all workers together: an agent tells one start that comes twice from two
-        by it, also after its worker was out of reach."""
+        """Numbers of starts, across all workers. They let an agent tell a duplicate start from a
+        new one, even after its worker was unreachable."""
 
     @property
     def min_waiting_cpu(self) -> int:
-        """What the smallest waiting task takes; news of less room changes nothing."""
-        return self._least_waiting_cpu
+        """CPU of the smallest waiting task; a worker with less free CPU can start nothing."""
+        return self._min_waiting_cpu
 
     def dispatch(self, *, now: float) -> list[Action]:
-        """Place waiting tasks while there is room."""
+        """Place waiting tasks while there is free capacity, and request capacity for the rest."""
         waiting = [job for job in self._jobs.values() if job.waiting]
-        self._least_waiting_cpu = 0
+        self._min_waiting_cpu = 0
         if not waiting:
-            self._wants.clear()
+            self._capacity_requests.clear()
             return []
         choices = self._choice.begin(now=now)
         waiting.sort(key=lambda job: self._order.get_key(job, now=now))
         starts = [start for job in waiting for start in self._start_tasks(job, choices, now)]
-        left = (task.step.resources.cpu for job in waiting for task in job.waiting)
-        self._least_waiting_cpu = min(left, default=0)
-        asked = self._wants.update(
+        waiting_cpu = (task.step.resources.cpu for job in waiting for task in job.waiting)
+        self._min_waiting_cpu = min(waiting_cpu, default=0)
+        requests = self._capacity_requests.update(
             _get_first_waiting(waiting),
             choices.get_accepting,
             started={start.worker for start in starts},
             now=now,
         )
-        return [*starts, *asked, *self._ask_to_preempt(waiting, choices, now)]
+        return [*starts, *requests, *self._request_preemption(waiting, choices, now)]
 
     def start_last_resort(self, jobs: Iterable[Job], *, now: float) -> list[StartTask]:
-        """Start what is refused otherwise wherever it can still be of use."""
+        """Start jobs that would otherwise be refused on any worker where they are still useful."""
         choices = self._choice.begin(now=now)
-        most_free = self._choice.get_most_free()
+        max_free_cpu = self._choice.get_max_free_cpu()
         urgent_first = sorted(jobs, key=lambda job: self._order.get_key(job, now=now))
         starts: list[StartTask] = []
         for job in urgent_first:
-            starts += self._start_job_at_last(job, choices, most_free, now)
+            starts += self._start_job_last_resort(job, choices, max_free_cpu, now)
         return starts
 
-    def _ask_to_preempt(
+    def _request_preemption(
         self, waiting: Iterable[Job], choices: ChoiceRound, now: float
     ) -> list[Action]:
-        """Ask for room to be made where the jobs that may preempt can use it."""
-        begins_at = now + self._preemption.preemption_delay_s
-        askers = self._preemption.select_requesting_jobs(waiting, now=now)
-        return self._wants.ask_to_preempt(
-            askers, lambda job: choices.find_preemptible(job, begins_at=begins_at), now=now
+        """Request preemption on the workers that jobs allowed to preempt could use."""
+        starts_at = now + self._preemption.preemption_delay_s
+        requesting = self._preemption.select_requesting_jobs(waiting, now=now)
+        return self._capacity_requests.ask_to_preempt(
+            requesting,
+            lambda job: choices.find_preemption_targets(job, starts_at=starts_at),
+            now=now,
         )
 
-    def _start_job_at_last(
-        self, job: Job, choices: ChoiceRound, most_free: Mapping[str, int], now: float
+    def _start_job_last_resort(
+        self, job: Job, choices: ChoiceRound, max_free_cpu: Mapping[str, int], now: float
     ) -> list[StartTask]:
         starts = []
-        room = most_free.get(job.request.queue.service, -1)
-        full: set[int] = set()
+        max_cpu = max_free_cpu.get(job.request.queue.service, -1)
+        full_steps: set[int] = set()
         for task in list(job.waiting):
             step = task.key.step
-            if step in full or task.step.resources.cpu > room or job.holds_back(task):
+            if step in full_steps or task.step.resources.cpu > max_cpu or job.holds_back(task):
                 continue
             view = choices.choose_last_resort(job, task)
             if view is None:
-                full.add(step)
+                full_steps.add(step)
             else:
                 starts.append(self._start(job, task, view, now))
         return starts
@@ -112,24 +116,24 @@
     def _start_tasks(self, job: Job, choices: ChoiceRound, now: float) -> list[StartTask]:
         service = job.request.queue.service
         starts = []
-        is_planned = False
-        full: set[int] = set()
+        has_planned = False
+        full_steps: set[int] = set()
         for task in list(job.waiting):
-            if task.step.resources.cpu > choices.get_most_free(service):
+            if task.step.resources.cpu > choices.get_max_free_cpu(service):
                 break
-            if task.key.step in full or job.holds_back(task):
+            if task.key.step in full_steps or job.holds_back(task):
                 continue
-            suiting = choices.find_eligible(job, task)
-            if not suiting:
+            eligible = choices.find_eligible(job, task)
+            if not eligible:
                 if not task.is_choosy:
-                    # Others of its step find no more than this one.
-                    full.add(task.key.step)
+                    # The other tasks of the step have the same requirements.
+                    full_steps.add(task.key.step)
                 continue
-            if not is_planned:
-                is_planned = True
+            if not has_planned:
+                has_planned = True
                 workers = choices.get_accepting(service)
                 self._placement.plan(job, workers, self._run_times, now=now)
-            view = choices.pick(job, task, suiting)
+            view = choices.pick(job, task, eligible)
             if view is not None:
                 starts.append(self._start(job, task, view, now))
                 choices.note_start(service)
@@ -156,9 +160,9 @@
 
 
 def _get_first_waiting(jobs: list[Job]) -> dict[str, Job]:
-    """Return the first job of each service that still waits; ``jobs`` are in order of service."""
-    firsts: dict[str, Job] = {}
+    """Return the first waiting job of each service; ``jobs`` are in the order of service."""
+    first_jobs: dict[str, Job] = {}
     for job in jobs:
         if job.waiting:
-            firsts.setdefault(job.request.queue.service, job)
-    return firsts
+            first_jobs.setdefault(job.request.queue.service, job)
+    return first_jobs
--- a/dalemast/core/scheduling/estimates.py
+++ b/dalemast/core/scheduling/estimates.py
@@ -1,4 +1,4 @@
-"""Run times learned from tasks that ended, since declared ones are often far off."""
+"""Estimates of run times, learned from finished tasks because declared times are often wrong."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 __all__ = ["RunTimes"]
 
 LEARNING_RATE = 0.05
-"""Weight of the newest task in the averages: about the last twenty tasks count."""
+"""Weight of the latest task in the averages: an average over about twenty tasks."""
 DECLARED_WEIGHT = 0.5
-"""How much a job's own declaration counts against the mean of its queue. Declarations are off by
-about 40 %, while jobs of one queue differ from their mean by as much, so both count alike."""
+"""Weight of a job's declared time against the mean of its queue. Both are equally imprecise."""
 MIN_SECONDS = 0.001
+"""Shorter times are raised to this, so that ratios stay finite."""
 
 
 class RunTimes:
-    """Means by queue: of the run time, and of the run time over the declared one."""
+    """Averages by queue of the run time and of its ratio to the declared time."""
 
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
         self._ratios: dict[str, float] = {}
 
     def learn(self, *, queue: str, declared_s: float, actual_s: float) -> None:
-        """Take in a task that ended well; ``actual_s`` is what a worker of usual speed takes.
+        """Update the averages with a finished task; ``actual_s`` is its time on a usual worker.
 
-        A time that is no number, infinite or negative teaches nothing.
+        Times that are NaN, infinite or negative are ignored.
         """
         if not 0.0 <= actual_s < math.inf:
             return
@@ -36,7 +36,7 @@
             self._ratios[queue] = _blend(self._ratios.get(queue), actual_s / declared_s)
 
     def expect_chain(self, request: JobRequest) -> float:
-        """Return the expected run time of the longest chain of a job's steps, in seconds."""
+        """Return the expected run time of the longest chain of dependent steps, in seconds."""
         return request.get_longest_chain(
             lambda _, step: self.expect(queue=request.queue.name, declared_s=step.estimate_s)
         )
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -106,7 +106,7 @@
             return []
         # What is said of the load is the same for all, and counts those that are refused too.
         load = _Load(
-            most_free=self._choice.get_most_free(),
+            most_free=self._choice.get_max_free_cpu(),
             held_cpu=self._count_held_cpu(),
             waiting_jobs=sum(not job.has_begun for job in self._jobs.values()),
             retry_after_s=self._get_retry_after_s(),
--- a/dalemast/core/scheduling/scheduler.py
+++ b/dalemast/core/scheduling/scheduler.py
@@ -1,8 +1,7 @@
-"""The scheduler of one owner: pure decisions, fed by messages and a clock value.
+"""Scheduler of one owner: computes decisions from messages and a clock value, without I/O.
 
-Two runs of a task never overlap: a task is placed again only after the agent said that its run
-ended or never began, or after :attr:`SchedulerLimits.lost_run_s` has passed since this owner last
-could have kept it alive.
+Two runs of a task never overlap: a task is placed again only after its agent reported that the run
+ended or never began, or :attr:`SchedulerLimits.lost_run_s` after its worker became unreachable.
 """
 
 from __future__ import annotations
@@ -62,9 +61,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SchedulerLimits:
-    """``lost_run_s``: a run out of reach has surely ended after this time, in seconds.
+    """Time limits, in seconds.
 
-    ``stop_s`` is the longest time that a stop takes on a worker.
+    ``lost_run_s`` is the time after which a run on an unreachable worker must have ended, and
+    ``stop_s`` the maximum time that a worker needs to stop a run.
     """
 
     lost_run_s: float
@@ -72,7 +72,10 @@
 
 
 class Scheduler:
-    """Owns jobs and places their tasks. Every method returns the actions that follow."""
+    """Keeps the jobs of one owner and places their tasks.
+
+    Methods that change its state return the actions that the caller must carry out.
+    """
 
     def __init__(
         self,
@@ -97,15 +100,15 @@
             placement=placement, workers=self._workers, by_slack=policy.learns_speeds
         )
         self._speeds = KnownSpeeds(workers=self._workers)
-        self._wants = RoomWants(order=order)
-        self._preemption = Preemption(is_asked=policy.preempts, stop_s=limits.stop_s)
+        self._capacity_requests = RoomWants(order=order)
+        self._preemption = Preemption(is_enabled=policy.preempts, stop_s=limits.stop_s)
         self._dispatcher = Dispatcher(
             jobs=self._jobs,
             order=order,
             placement=placement,
             choice=self._choice,
             run_times=self._run_times,
-            wants=self._wants,
+            capacity_requests=self._capacity_requests,
             preemption=self._preemption,
         )
         self._departures = DepartureMoves(
@@ -120,7 +123,7 @@
         self._demand = DemandBook()
         placement.set_demand(self._demand)
         self._crashes = CrashRecords(open_jobs=self._jobs)
-        self._seen = SeenWorkers(started_at=started_at)
+        self._seen_workers = SeenWorkers(started_at=started_at)
         self._forecasts = Forecasts(
             jobs=self._jobs,
             workers=self._workers,
@@ -139,29 +142,29 @@
 
     @property
     def workers(self) -> dict[str, WorkerView]:
-        """The workers in reach, by id."""
+        """The reachable workers, by id."""
         return self._workers
 
     @property
     def placement(self) -> BasePlacement:
-        """What chooses workers."""
+        """The policy that chooses a worker for a task."""
         return self._placement
 
     @property
     def open_jobs(self) -> dict[str, Job]:
-        """The jobs that have not ended, by id."""
+        """The jobs that have not finished, by id."""
         return self._jobs
 
     @property
     def demand(self) -> DemandBook:
-        """What waits at the other entries, by their words."""
+        """The queued work that other entries have reported."""
         return self._demand
 
     def get_busy_workers(self) -> set[str]:
-        """Return the workers on which a run of this owner may be going.
+        """Return the workers on which a run of this owner may still be active.
 
-        Not those where tasks of open jobs have ended: their agents have no run to beat for, and
-        would be given up as silent.
+        Workers whose tasks have ended are excluded: their agents send no heartbeats for this owner
+        and would be treated as unresponsive.
         """
         return {
             task.worker
@@ -171,16 +174,16 @@
         }
 
     def get_capacity_request(self, worker: str) -> Want | None:
-        """Return what this owner lacks room for on workers like this one."""
+        """Return the open capacity request for the service of a worker, if any."""
         view = self._workers.get(worker)
-        return None if view is None else self._wants.get(view.service)
+        return None if view is None else self._capacity_requests.get(view.service)
 
     def estimate_completion_s(self, request: JobRequest) -> float:
-        """Return the time in which a job that begins at once is done, with a margin, in seconds."""
+        """Return the expected time to complete a job that starts now, including a margin."""
         return (1.0 + START_MARGIN) * self._run_times.expect_chain(request)
 
     def submit(self, request: JobRequest, *, now: float) -> list[Action]:
-        """Take a job on."""
+        """Accept a job and place its tasks, or refuse it if it can't be served in time."""
         chain_s = self._run_times.expect_chain(request)
         objective_s = request.queue.get_objective_s(chain_s)
         job = Job(
@@ -192,60 +195,60 @@
         )
         self._jobs[request.id] = job
         self._placement.note_job(request, self._run_times, now=now)
-        if self._seen.is_hopeless(request, now=now):
-            return [self._finish(job, JobState.FAILED, "no worker can ever hold it", now)]
+        if self._seen_workers.is_hopeless(request, now=now):
+            return [self._finish(job, JobState.FAILED, "no known worker can run it", now)]
         self._forecasts.note(job)
-        given_up = self._judge(job, now)
+        given_up = self._check_crashes(job, now)
         actions = [*given_up, *self.dispatch(now=now)]
         if not given_up and self._refusals.is_in_vain(job, now=now):
             actions += self._serve_or_refuse([job], now)
         return actions
 
     def cancel(self, job_id: str) -> list[Action]:
-        """Forget a job and stop what runs of it."""
+        """Remove a job and stop its runs."""
         job = self._jobs.pop(job_id, None)
-        return [] if job is None else self._give_up(job)
+        return [] if job is None else self._stop_runs(job)
 
     def abandon(self, job_id: str, *, now: float) -> list[Action]:
-        """Forget a job that this owner can't follow any more, and stop what runs of it.
+        """Remove a job that this owner can no longer track, and stop its runs.
 
-        Nobody will tell this owner how its runs ended, and their workers may end under them: each
-        counts as an end that was not seen, here and at the peers, so that the caller's next try
-        does not begin anew with a task that ends its workers.
+        Their outcome will not be reported, so each run is recorded as an unobserved worker crash,
+        here and at the peers. Otherwise a resubmitted task that crashes its workers would start
+        without a crash history.
         """
         job = self._jobs.get(job_id)
         runs = [] if job is None else [t for t in job.tasks.values() if t.phase in ON_WORKER]
-        unseen = [
+        presumed = [
             RunPresumedOver(
                 worker=task.worker, job_id=job_id, task=task.key, run=task.run, lost_s=0.0
             )
             for task in runs
         ]
-        for over in unseen:
+        for over in presumed:
             crash = Crash(life=over.worker, age_s=None, is_seen=False)
             self._crashes.note(job_id, over.task, crash, now=now)
-        return [*self.cancel(job_id), *unseen]
+        return [*self.cancel(job_id), *presumed]
 
     def add_worker(self, view: WorkerView, *, now: float) -> None:
-        """Take in a worker that its agent announced."""
+        """Add a worker that its agent has announced."""
         self._workers[view.name] = view
         view.is_evacuated = view.data_centre in self._evacuated
         self._refusals.note_found_worker(now=now)
-        self._seen.add(view)
+        self._seen_workers.add(view)
         self._speeds.note_added(view)
 
     def resize_worker(self, name: str, capacity: Resources) -> None:
-        """Take in what a worker has by now; the report that follows says what of it is free."""
+        """Set the total capacity of a worker; its next report contains the free capacity."""
         view = self._workers.get(name)
         if view is not None:
             view.resize(capacity)
-            self._seen.add(view)
+            self._seen_workers.add(view)
 
     def set_evacuated(self, data_centres: frozenset[str], *, now: float) -> list[Action]:
-        """Start nothing in these data centres, and use the others again; what runs goes on.
+        """Start no tasks in these data centres, and use all others again; active runs continue.
 
-        Their workers count as seen all the same: a job that they alone can hold waits, and is not
-        called hopeless.
+        Evacuated workers still count as known: a job that only they could run stays queued instead
+        of being rejected as infeasible.
         """
         self._evacuated = data_centres
         for view in self._workers.values():
@@ -253,38 +256,39 @@
         return self.dispatch(now=now)
 
     def update_worker(self, name: str, report: CapacityReport, *, now: float) -> list[Action]:
-        """Take in an agent's report on its worker."""
+        """Apply a report of an agent on its worker."""
         view = self._workers.get(name)
         if view is None:
             return []
         view.update(report, now=now)
-        # A peer may have told that it lost the worker, which its agent still has.
-        self._clear_unseen(name)
+        # A peer may have reported the worker as lost when only its own link had failed.
+        self._clear_unobserved(name)
         if report.pace >= SLOW_PACE * (view.baseline_slowness or 1.0):
-            # All owners' runs tell of it, so an owner need not lose tasks there to learn it.
+            # The pace covers the runs of all owners, so this owner learns of a slow worker before
+            # its own tasks are late there.
             view.learn_slowness(report.pace, now=now, weight=PACE_WEIGHT)
         actions: list[Action] = []
         if view.is_accepting and view.free.cpu >= self._dispatcher.min_waiting_cpu:
             actions = self.dispatch(now=now)
         moves = self._departures.review(now=now)
-        return [*actions, *moves, *self._wants.answer_offer(view, actions)]
+        return [*actions, *moves, *self._capacity_requests.answer_offer(view, actions)]
 
     def note_capacity_releases(
         self, name: str, rows: tuple[ComingRoom, ...], *, now: float
     ) -> None:
-        """Take in when room comes free on a worker."""
+        """Apply the capacity releases that an agent expects on its worker."""
         view = self._workers.get(name)
         if view is not None:
             view.set_releases(rows, now=now)
 
     def note_speed(self, name: str, speed: WorkerSpeed) -> None:
-        """Take in what an agent has learned of its worker's speed."""
+        """Apply the speed that an agent has measured for its worker."""
         view = self._workers.get(name)
         if view is not None and self._policy.learns_speeds:
             self._speeds.note_reported(view, speed)
 
     def note_departure(self, name: str, in_s: float | None, *, now: float) -> None:
-        """Take in how long a worker stays at the least, or that it stays after all."""
+        """Apply the minimum time until a worker leaves; None means that it stays."""
         view = self._workers.get(name)
         if view is None or (in_s is not None and not is_plausible(in_s)):
             return
@@ -295,36 +299,36 @@
     def note_departure_risk(
         self, name: str, job_id: str, key: TaskKey, run: int, report: CutShort, *, now: float
     ) -> list[Action]:
-        """Take in that a worker is expected to leave before a run there ends."""
+        """Apply a report that a worker is expected to leave before one of its runs ends."""
         job = self._jobs.get(job_id)
         task = job.tasks.get(key) if job else None
         if not self._policy.plans_departures or job is None or task is None:
             return []
         if task.worker != name or task.run != run or task.phase is not TaskPhase.PLACED:
             return []
-        self._departures.note(job, task, report, now=now)
+        self._departures.note_risk(job, task, report, now=now)
         return self._departures.review(now=now)
 
     def note_demand(self, entry: str, words: tuple[LoadWord, ...], *, now: float) -> bool:
-        """Take in all that waits at another entry; return False if it is not used."""
+        """Apply the queued work of another entry; return False if the report is not used."""
         return self._policy.shares_demand and self._demand.note(entry, words, now)
 
     def forget_demand(self, entry: str) -> None:
-        """Note that another entry is out of reach."""
+        """Discard the reports of another entry that has become unreachable."""
         self._demand.forget(entry)
 
     def get_demand(self, *, now: float) -> tuple[LoadWord, ...]:
-        """Return what waits here, for the other entries."""
+        """Return a summary of the work queued here, for the other entries."""
         if not self._policy.shares_demand:
             return ()
         return sum_up_waiting(self._jobs.values(), self._run_times, now=now)
 
     def lose_worker(self, name: str, *, now: float) -> list[Action]:
-        """Note that a worker's agent is out of reach; its runs may go on for a while."""
+        """Remove a worker whose agent is unreachable; its runs may continue for a while."""
         view = self._workers.pop(name, None)
         if view is not None:
             self._speeds.note_lost(view)
-        self._wants.forget(name)
+        self._capacity_requests.forget(name)
         self._departures.forget_worker(name)
         for _, task in self._get_runs_on(name):
             task.phase = TaskPhase.LOST
@@ -334,18 +338,18 @@
     def reconcile(
         self, name: str, listed: Iterable[tuple[str, TaskKey, int]], *, now: float
     ) -> list[Action]:
-        """Compare with what an agent has after its link is back.
+        """Compare this owner's runs with those that an agent lists after its link is restored.
 
-        A run that the agent does not list is over. A listed run that is not wanted is stopped.
+        A run that the agent does not list has ended. A listed run that is not expected is stopped.
         """
-        self._clear_unseen(name)
+        self._clear_unobserved(name)
         listed_runs = set(listed)
         actions: list[Action] = []
         wanted: set[tuple[str, TaskKey, int]] = set()
         for job, task in self._get_runs_on(name):
             run = (job.request.id, task.key, task.run)
             if run not in listed_runs:
-                # How it ended was lost with the link: it may have given way.
+                # Its outcome was lost with the link, and it may have been preempted.
                 task.has_given_way = True
                 job.leave_worker(task)
                 job.set_waiting(task)
@@ -377,19 +381,19 @@
             crash = Crash(
                 life=incarnation, age_s=row.age_s, is_seen=is_observed, has_begun=row.has_begun
             )
-            is_news = self._crashes.note(row.job_id, row.task, crash, now=now)
+            is_new = self._crashes.note(row.job_id, row.task, crash, now=now)
             job = self._jobs.get(row.job_id)
             if job is None:
                 continue
             if not is_relayed:
-                self._end_crashed(job, row.task, incarnation)
-            if is_news:
+                self._requeue_crashed(job, row.task, incarnation)
+            if is_new:
                 suspects[row.job_id] = job
-        given_up = [action for job in suspects.values() for action in self._judge(job, now)]
+        given_up = [action for job in suspects.values() for action in self._check_crashes(job, now)]
         return [*given_up, *self.dispatch(now=now)]
 
     def list_crashes(self) -> dict[Crash, list[CrashedTask]]:
-        """Return the tasks under which workers have ended lately, by that end."""
+        """Return the recent worker crashes with the tasks that were running."""
         return self._crashes.list_latest()
 
     def end_run(
@@ -403,7 +407,7 @@
         run_s: float,
         now: float,
     ) -> list[Action]:
-        """Take in how a run ended; ends of runs that are no longer meant change nothing."""
+        """Handle the end of a run; reports on superseded runs are ignored."""
         job = self._jobs.get(job_id)
         task = job.tasks.get(key) if job else None
         if job is None or task is None or task.run != run or task.worker != name:
@@ -414,16 +418,16 @@
             row = CrashedTask(job_id=job_id, task=key, age_s=None)
             return self.note_crash(name, [row], now=now)
         if reason is EndReason.DONE:
-            return self._end_well(job, task, run_s, now)
+            return self._handle_success(job, task, run_s, now)
         if reason is EndReason.FAILED:
-            return self._end_badly(job, task, now)
-        self._end_unfinished(job, task, reason)
+            return self._handle_failure(job, task, now)
+        self._handle_unfinished(job, task, reason)
         return self.dispatch(now=now)
 
     def handle_slow_run(
         self, name: str, job_id: str, key: TaskKey, run: int, report: SlowRun, *, now: float
     ) -> list[Action]:
-        """Move a run that crawls or stands still if a new one elsewhere would end sooner."""
+        """Stop a stalled run, or a slow one that would end sooner on another worker."""
         job = self._jobs.get(job_id)
         task = job.tasks.get(key) if job else None
         view = self._workers.get(name)
@@ -436,17 +440,17 @@
             return []
         if not report.is_stalled and task.slow_moves >= MAX_SLOW_MOVES:
             return []
-        if not self._is_simply_long(view, report, now):
+        if not self._is_task_long(view, report, now):
             view.learn_slowness(pace, now=now, weight=PACE_WEIGHT)
         else:
             pace = view.baseline_slowness or 1.0
             if not would_be_late(job, task, report, baseline_slowness=pace, now=now):
                 return []
         if not report.is_stalled:
-            elsewhere = self._choice.begin(now=now).choose(job, task)
-            if elsewhere is None or elsewhere.name == task.worker:
+            target = self._choice.begin(now=now).choose(job, task)
+            if target is None or target.name == task.worker:
                 return []
-            if not is_move_beneficial(report, pace=pace, elsewhere=elsewhere, now=now):
+            if not is_move_beneficial(report, pace=pace, target=target, now=now):
                 return []
             task.slow_moves += 1
         task.phase = TaskPhase.STOPPING
@@ -454,7 +458,7 @@
         return [StopTask(worker=name, job_id=job_id, task=key, run=run)]
 
     def tick(self, *, now: float) -> list[Action]:
-        """Free lost runs whose time is over, refuse what waited too long, place the rest."""
+        """Expire lost runs, refuse jobs that have waited too long and place waiting tasks."""
         self._numbers.tick(now=now)
         self._crashes.tick(now=now)
         self._speeds.refresh(now=now)
@@ -466,30 +470,31 @@
         ]
         freed: list[Action] = [self._presume_over(job, task, now) for job, task in lost]
         for job in {job.request.id: job for job, _ in lost}.values():
-            freed += self._judge(job, now)
+            freed += self._check_crashes(job, now)
         if not self._policy.forecasts:
             placed = [*self._refuse(self._refusals.find_due(now=now), now), *self.dispatch(now=now)]
             return [*freed, *placed, *self._departures.review(now=now)]
-        # What can still be on time has the first claim on room.
+        # Jobs that can still be on time are placed before overdue ones get a last attempt.
         placed = self.dispatch(now=now)
         placed += self._serve_or_refuse(self._refusals.find_due(now=now), now)
         return [*freed, *placed, *self._departures.review(now=now)]
 
     def dispatch(self, *, now: float) -> list[Action]:
-        """Place waiting tasks while there is room."""
+        """Place waiting tasks while there is free capacity."""
         return self._dispatcher.dispatch(now=now)
 
-    def _is_simply_long(self, view: WorkerView, report: SlowRun, now: float) -> bool:
-        """Tell whether a slow run says nothing of its worker, and would be as long elsewhere.
+    def _is_task_long(self, view: WorkerView, report: SlowRun, now: float) -> bool:
+        """Return whether a run is slow because of its task, not because of its worker.
 
-        Where a worker's kind is known, only several runs show that it has turned slow.
+        If the baseline of the worker is known, a single slow run does not prove that the worker has
+        slowed down; several runs must show it.
         """
         if view.baseline_slowness is None or report.is_stalled:
             return False
         is_slow = report.worker_pace >= SLOW_PACE * view.baseline_slowness
         return not is_slow and not view.has_turned_slow(now)
 
-    def _end_well(self, job: Job, task: Task, run_s: float, now: float) -> list[Action]:
+    def _handle_success(self, job: Job, task: Task, run_s: float, now: float) -> list[Action]:
         view = self._workers.get(task.worker)
         if view is not None:
             view.record_outcome(is_failure=False)
@@ -503,7 +508,7 @@
     def _learn_run_time(
         self, job: Job, task: Task, view: WorkerView | None, run_s: float, now: float
     ) -> None:
-        """Take in how long a task that ended well took, for its worker and for its queue."""
+        """Update the slowness of the worker and the run times of the queue with a finished task."""
         slowness = 1.0
         if view is not None:
             view.learn_slowness(estimate_slowness(job, task, run_s), now=now)
@@ -516,7 +521,7 @@
         )
         job.run_times.setdefault(task.key.step, []).append(usual_s)
 
-    def _end_badly(self, job: Job, task: Task, now: float) -> list[Action]:
+    def _handle_failure(self, job: Job, task: Task, now: float) -> list[Action]:
         view = self._workers.get(task.worker)
         if view is not None:
             view.record_outcome(is_failure=True)
@@ -528,11 +533,11 @@
             return self.dispatch(now=now)
         job.waiting = []
         task.phase = TaskPhase.DONE
-        actions = self._give_up(job)
+        actions = self._stop_runs(job)
         cause = f"task {task.key.step}.{task.key.position} failed {task.failures} times"
         return [*actions, self._finish(job, JobState.FAILED, cause, now)]
 
-    def _end_unfinished(self, job: Job, task: Task, reason: EndReason) -> None:
+    def _handle_unfinished(self, job: Job, task: Task, reason: EndReason) -> None:
         view = self._workers.get(task.worker)
         if reason in NEVER_STARTED:
             if reason is EndReason.NOT_TAKEN:
@@ -547,44 +552,47 @@
         job.leave_worker(task)
         job.set_waiting(task)
 
-    def _end_crashed(self, job: Job, key: TaskKey, incarnation: str) -> None:
-        """Let a task wait again whose worker has crashed, if it still ran there."""
+    def _requeue_crashed(self, job: Job, key: TaskKey, incarnation: str) -> None:
+        """Requeue a task that was still running on a crashed worker."""
         task = job.tasks.get(key)
         if task is not None and task.worker == incarnation and task.phase in ON_WORKER:
-            # It may have been told to give way when its worker ended.
+            # It may have been preempted shortly before the crash.
             task.has_given_way = True
             job.leave_worker(task)
             job.set_waiting(task)
 
-    def _judge(self, job: Job, now: float) -> list[Action]:
-        """Note which tasks of a job are suspects; give the job up for one that is to blame."""
+    def _check_crashes(self, job: Job, now: float) -> list[Action]:
+        """Update which tasks of a job are suspected of crashes; fail the job if one is guilty."""
         job_id = job.request.id
         if job_id not in self._crashes:
             return []
-        self._set_suspicions(job)
+        self._update_suspects(job)
         open_tasks = (key for key, task in job.tasks.items() if task.phase is not TaskPhase.DONE)
         guilty = next((key for key in open_tasks if self._crashes.is_guilty(job_id, key)), None)
         if guilty is None:
             return []
         crashes = self._crashes.get(job_id, guilty)
         given_up = TaskGivenUp(job=job.request, task=guilty, crashes=crashes)
-        cause = f"{len(crashes)} workers ended under task {guilty.step}.{guilty.position}"
-        stops = self._give_up(job)
+        cause = (
+            f"{len(crashes)} workers crashed or were lost while running task "
+            f"{guilty.step}.{guilty.position}"
+        )
+        stops = self._stop_runs(job)
         return [given_up, *stops, self._finish(job, JobState.FAILED, cause, now)]
 
-    def _clear_unseen(self, incarnation: str) -> None:
-        """Note that a worker's life is there, so that it has not ended."""
+    def _clear_unobserved(self, incarnation: str) -> None:
+        """Discard unobserved crashes of an incarnation that turns out to be running."""
         for job_id in self._crashes.clear_unseen(incarnation) & self._jobs.keys():
-            self._set_suspicions(self._jobs[job_id])
+            self._update_suspects(self._jobs[job_id])
 
-    def _set_suspicions(self, job: Job) -> None:
+    def _update_suspects(self, job: Job) -> None:
         job_id = job.request.id
         job.is_cautious = self._crashes.is_job_suspect(job_id)
         for key, task in job.tasks.items():
             task.is_suspect = self._crashes.is_suspect(job_id, key)
 
     def _presume_over(self, job: Job, task: Task, now: float) -> RunPresumedOver:
-        """Let a lost run's task wait for a worker again."""
+        """Requeue the task of a lost run, and record an unobserved crash of its worker."""
         over = RunPresumedOver(
             worker=task.worker,
             job_id=job.request.id,
@@ -595,12 +603,12 @@
         task.has_given_way = True
         job.leave_worker(task)
         job.set_waiting(task)
-        unseen = Crash(life=over.worker, age_s=None, is_seen=False)
-        self._crashes.note(job.request.id, task.key, unseen, now=now)
+        unobserved = Crash(life=over.worker, age_s=None, is_seen=False)
+        self._crashes.note(job.request.id, task.key, unobserved, now=now)
         return over
 
     def _serve_or_refuse(self, jobs: list[Job], now: float) -> list[Action]:
-        """Refuse only what no worker with room could still serve."""
+        """Start jobs wherever they are still useful; refuse those that fit on no worker."""
         starts = self._dispatcher.start_last_resort(jobs, now=now) if jobs else []
         refused = self._refuse([job for job in jobs if not job.has_begun], now)
         return [*starts, *refused]
@@ -628,8 +636,8 @@
             workers=tuple(job.workers),
         )
 
-    def _give_up(self, job: Job) -> list[Action]:
-        """Stop every run. A lost one is named too: it counts as running until it surely ended."""
+    def _stop_runs(self, job: Job) -> list[Action]:
+        """Stop the runs of a removed job; lost runs too, since they may still be active."""
         self._numbers.remember(job.request.id, max(task.run for task in job.tasks.values()))
         return [
             StopTask(worker=task.worker, job_id=job.request.id, task=task.key, run=task.run)
--- a/dalemast/core/scheduling/slow_runs.py
+++ b/dalemast/core/scheduling/slow_runs.py
@@ -1,4 +1,4 @@
-"""The judgement of slow runs: how slow one is, and whether moving it gains time."""
+"""Evaluation of slow runs: how slow a run is, and whether moving it saves time."""
 
 from __future__ import annotations
 
@@ -17,34 +17,33 @@
 ]
 
 SLOW_PACE = 2.2
-"""From which pace a run counts as slow: workers differ by 1.25, tasks of a step by 15 %, and racks
-without the data by 1.5, so a sound run stays below."""
+"""Pace from which a run counts as slow. The usual differences between workers, tasks of a step and
+racks stay below it, also when they combine."""
 PACE_WEIGHT = 0.4
-"""How much one report of a slow run says of its worker: after three it is avoided."""
-LONGEST_UNPROVED = 1.5
-"""Bound on what a single run without ended siblings says of its worker."""
-MIN_SIBLINGS = 2
-"""Ended tasks of a step that are enough to judge the others by."""
-MOVE_GAIN = 1.3
-"""How much longer the rest of a slow run must be than a new run elsewhere before it is moved."""
+"""Weight of a report of a slow run in its worker's slowness: after three the worker is avoided."""
+MAX_UNCONFIRMED_SLOWNESS = 1.5
+"""Limit of the slowness sample of a run without finished siblings, which may just be a long one."""
+MIN_ENDED_SIBLINGS = 2
+"""Minimum number of finished tasks of a step whose mean run time is used for the others."""
+MIN_MOVE_GAIN = 1.3
+"""A slow run is moved if the rest of it takes this many times as long as a new run elsewhere."""
 MAX_SLOW_MOVES = 1
-"""How often a task may be moved since its run is slow. One that is as slow elsewhere is simply
-long, and says nothing of its workers. Without the bound a task of 6.4 s, whose siblings took 2.5 s,
-was moved every 0.3 s until its caller gave up after 27 s, and 71 workers were distrusted for it."""
-STOP_COST_S = 0.06
-"""What moving a task costs beside running it again: a stop of up to 50 ms and two messages."""
-CLOCK_ERROR_S = 10.0
-"""How much longer a run may seem at its agent than at its owner: neither clock is told the other's,
-and a process may stand still for seconds between a step and its time."""
-SHORTEST_S = 0.001
-"""Expected times below this are taken as this long, so that no ratio is unbounded."""
+"""Maximum number of moves of one task because of slow runs. A task that is slow elsewhere too is a
+long one: moving it again would keep it from finishing and mark sound workers as slow."""
+MOVE_OVERHEAD_S = 0.06
+"""Time that a move takes in addition to the new run: stopping the run and two messages."""
+MAX_CLOCK_ERROR_S = 10.0
+"""Tolerance when an agent's run time is compared with the owner's clock. The clocks are not
+synchronized, and a process may pause for seconds before it reads its clock."""
+MIN_EXPECTED_S = 0.001
+"""Shorter expected times are raised to this, so that ratios stay bounded."""
 
 
 def estimate_pace(job: Job, task: Task, report: SlowRun) -> float:
-    """Return how many times as long as elsewhere the run takes, by the best evidence.
+    """Return how many times as long the run takes as it would on a usual worker.
 
-    A declared time says little of one run, since it may simply be a long one. Tasks of the same
-    step that have ended say much: they differ by about 15 %.
+    Finished tasks of the same step are the best reference. Without them the pace of the whole
+    worker is used, since a single run may exceed its declared time just because it is long.
     """
     total_s = report.total_s / task.run_factor
     if report.is_stalled:
@@ -56,38 +55,36 @@
 
 
 def is_run_time_plausible(task: Task, run_s: float, *, now: float) -> bool:
-    """Tell whether a run that ended well can have taken so long, by its owner's clock.
-
-    A time that is no number can't be true.
-    """
-    return 0.0 <= run_s <= now - task.placed_at + CLOCK_ERROR_S
+    """Return whether a reported run time is possible by the owner's clock; NaN is not."""
+    return 0.0 <= run_s <= now - task.placed_at + MAX_CLOCK_ERROR_S
 
 
 def estimate_slowness(job: Job, task: Task, run_s: float) -> float:
-    """Return an ended run's time over what it takes elsewhere, by ended tasks of its step.
+    """Return the ratio of a finished run's time to the mean of finished tasks of its step.
 
-    Without them it is compared with the expected time and bounded: it may be a long job.
+    Without such tasks it is compared with the expected time and limited, since the job may just be
+    a long one.
     """
     local_s = run_s / task.run_factor
     sibling_s = _get_sibling_s(job, task)
     if sibling_s is None:
-        return min(_get_ratio(local_s, task.expected_s), LONGEST_UNPROVED)
+        return min(_get_ratio(local_s, task.expected_s), MAX_UNCONFIRMED_SLOWNESS)
     return _get_ratio(local_s, sibling_s)
 
 
-def is_move_beneficial(report: SlowRun, *, pace: float, elsewhere: WorkerView, now: float) -> bool:
-    """Tell whether a new run on another worker would end well before this one."""
-    new_run_s = report.total_s / pace * elsewhere.get_slowness(now) + STOP_COST_S
-    return report.total_s - report.age_s >= MOVE_GAIN * new_run_s
+def is_move_beneficial(report: SlowRun, *, pace: float, target: WorkerView, now: float) -> bool:
+    """Return whether a new run on another worker would end well before this one."""
+    new_run_s = report.total_s / pace * target.get_slowness(now) + MOVE_OVERHEAD_S
+    return report.total_s - report.age_s >= MIN_MOVE_GAIN * new_run_s
 
 
 def would_be_late(
     job: Job, task: Task, report: SlowRun, *, baseline_slowness: float, now: float
 ) -> bool:
-    """Tell whether a run that is simply long makes its job late since its worker is of a slow kind.
+    """Return whether a long task makes its job late because its worker has a slow baseline.
 
-    Its length stretches the job's objective, as on a worker of usual speed; that counts the job's
-    other steps as no longer than this task.
+    The objective is based on the task's time on a usual worker, assuming that the task is the
+    longest part of the job.
     """
     usual_s = report.total_s / (task.run_factor * baseline_slowness)
     objective_s = job.request.queue.get_objective_s(max(usual_s, job.chain_s))
@@ -95,12 +92,12 @@
 
 
 def _get_sibling_s(job: Job, task: Task) -> float | None:
-    """Return the mean run time of the step's ended tasks, or None if there are too few."""
+    """Return the mean run time of the step's finished tasks, or None if there are too few."""
     ended = job.run_times.get(task.key.step, ())
-    if len(ended) < MIN_SIBLINGS:
+    if len(ended) < MIN_ENDED_SIBLINGS:
         return None
     return sum(ended) / len(ended)
 
 
 def _get_ratio(actual_s: float, usual_s: float) -> float:
-    return actual_s / max(usual_s, SHORTEST_S)
+    return actual_s / max(usual_s, MIN_EXPECTED_S)
--- a/dalemast/core/scheduling/workers.py
+++ b/dalemast/core/scheduling/workers.py
@@ -1,4 +1,7 @@
-"""What an owner believes of a worker. The worker's agent has the last word on room."""
+"""An owner's view of a worker.
+
+The view may be outdated: the agent of the worker decides whether a task fits.
+"""
 
 from __future__ import annotations
 
@@ -11,33 +14,33 @@
 __all__ = ["CapacityReport", "SlowRun", "WorkerView"]
 
 SPEED_LEARNING_RATE = 0.1
-"""Weight of the newest task in a worker's slowness: about the last ten tasks count."""
+"""Weight of the latest task in a worker's slowness: an average over about ten tasks."""
 SLOWNESS_HALF_LIFE_S = 2.0
-"""Evidence of slowness halves in this time: workers turn slow for about 6 s, and one that gets no
-tasks gives no new evidence."""
-USUAL_SLOWNESS = 1.5
-"""Up to which slowness a worker may simply be of a slower kind, which does not fade."""
+"""Half-life of the slowness above the threshold. Without decay a worker that was slow for a while
+would get no more tasks, and so could never show that it has recovered."""
+TEMPORARY_SLOWNESS_FACTOR = 1.5
+"""Slowness above this multiple of the baseline is considered temporary and decays."""
 SLOWNESS_RANGE = (0.3, 20.0)
-"""Bounds on what one task may say of a worker's slowness, so that no outlier decides alone."""
-MOST_BY_ONE = 3.0
-"""How many times slower than its kind one task may show a worker whose kind is known: a single one
-is simply long, and three of them in a row show that the worker has turned slow."""
+"""Limits of a single slowness sample, so that an outlier does not dominate the average."""
+MAX_SINGLE_RUN_FACTOR = 3.0
+"""Limit of a single sample, as a multiple of a known baseline. One long task must not make the
+worker look slow; three of them in a row do."""
 
 FAILURE_WEIGHT = 0.3
-"""Weight of the newest task in a worker's share of failures: one failure makes it suspect, and two
-tasks that end well after it clear it. Sound workers fail about one task in 500."""
-SUSPECT_SHARE = 0.2
-"""Share of failures from which a worker is no place for the last attempt of a task."""
+"""Weight of the latest task in a worker's failure share: one failure makes the worker suspect, and
+two successes after it clear it."""
+SUSPECT_FAILURE_SHARE = 0.2
+"""Failure share from which a worker gets no tasks that have already failed elsewhere."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CapacityReport:
-    """An agent's word on its worker.
+    """An agent's report on the free capacity of its worker.
 
-    ``seen`` is the number of the last start of this owner that ``free`` takes account of.
-    ``is_accepting`` is false while the worker leaves or its agent doubts it. ``pace`` is how slow
-    the jobs that run there now show it to be for sure, by their whole run times at their pace over
-    the expected ones, or 0 if there are too few to tell.
+    ``seen`` is the number of this owner's last start that ``free`` accounts for. ``is_accepting``
+    is false while the worker is leaving or its agent suspects it. ``pace`` is a lower bound on the
+    slowness of the worker, estimated from the jobs that are running there, or 0 if there are too
+    few of them.
     """
 
     seen: int
@@ -48,10 +51,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlowRun:
-    """An agent's word on a run that crawls or stands still. Times are seconds.
+    """An agent's report on a slow or stalled run. Times are in seconds.
 
-    ``total_s`` is its whole run time at its pace so far; ``worker_pace`` is how slow the jobs
-    on the worker show it to be for sure, as in :class:`CapacityReport`, or 0 if there are too few.
+    ``total_s`` is the run time extrapolated from the progress so far; ``worker_pace`` is the pace
+    of the worker, as in :class:`CapacityReport`.
     """
 
     age_s: float
@@ -61,7 +64,7 @@
 
 
 class WorkerView:
-    """One life of a worker, seen from one owner."""
+    """One owner's view of one incarnation of a worker."""
 
     def __init__(
         self,
@@ -80,29 +83,28 @@
         self._is_same_data_centre = is_same_data_centre
         self._data_centre = data_centre
         self.is_evacuated = False
-        """Whether nothing may be started in its data centre; its agent may not know yet."""
+        """Whether its data centre is evacuated. Its agent may not have been notified yet."""
         self._free = capacity
         self._is_accepting = False
         self._reported_at: float | None = None
-        self._sent: dict[int, Resources] = {}
+        self._unconfirmed_starts: dict[int, Resources] = {}
         self._slowness = 1.0
         self._learned_at = 0.0
-        self._failed_share = 0.0
+        self._failure_share = 0.0
         self.releases: tuple[ComingRoom, ...] = ()
-        """Room that comes free, by the agent's last word, soonest first."""
+        """Capacity releases from the agent's last report, earliest first."""
         self.releases_reported_at = 0.0
-        """When that was told, by the owner's steady clock."""
+        """Time of that report, by the owner's monotonic clock."""
         self.reported_speed: WorkerSpeed | None = None
-        """What its agent has learned of its speed."""
+        """Speed that its agent has measured, if it was reported."""
         self.baseline_slowness: float | None = None
-        """How slow it is for good, over the middle worker of its service, if that is known. What
-        this owner sees beyond it is in passing, and fades."""
+        """Long-term slowness relative to the median worker of its service, or None if unknown."""
         self.leaves_at: float | None = None
-        """When it may leave at the soonest, by the owner's steady clock; None if it stays."""
+        """Earliest time at which it may leave, by the owner's monotonic clock, or None."""
 
     @property
     def name(self) -> str:
-        """The worker's id, new with each of its lives."""
+        """The worker's id, which is different for each incarnation."""
         return self._name
 
     @property
@@ -112,12 +114,12 @@
 
     @property
     def capacity(self) -> Resources:
-        """What it has in all, which may change."""
+        """Its total capacity, which may change."""
         return self._capacity
 
     @property
     def labels(self) -> frozenset[str]:
-        """Its labels, the rack among them."""
+        """Its labels, including the rack."""
         return self._labels
 
     @property
@@ -127,113 +129,119 @@
 
     @property
     def data_centre(self) -> str:
-        """Where it is."""
+        """The name of its data centre."""
         return self._data_centre
 
     @property
     def is_accepting(self) -> bool:
-        """Whether its agent takes starts, and its data centre is not evacuated."""
+        """Whether its agent accepts starts and its data centre is not evacuated."""
         return self._is_accepting and not self.is_evacuated
 
     @property
     def free(self) -> Resources:
-        """What was free at the last report, less what was sent since."""
+        """Capacity that was free at the last report, minus that of starts sent since then."""
         return self._free
 
     @property
     def is_suspect(self) -> bool:
-        """Whether many of this owner's latest tasks there have failed.
+        """Whether many of this owner's recent tasks on it have failed.
 
-        Its agent doubts a worker only after failures in a row. One that fails half of its tasks
-        gets new ones meanwhile, and must not get those that have failed elsewhere already.
+        The agent suspects a worker only after consecutive failures. A worker that fails half of
+        its tasks still accepts starts, but must not get tasks that have failed elsewhere.
         """
-        return self._failed_share >= SUSPECT_SHARE
+        return self._failure_share >= SUSPECT_FAILURE_SHARE
 
     @property
     def used_share(self) -> float:
-        """The share of its processors in use."""
+        """The share of its processors that is in use."""
         if not self._capacity.cpu:
             return 0.0
         return 1.0 - self._free.cpu / self._capacity.cpu
 
     def reserve(self, resources: Resources, *, number: int) -> None:
-        """Count a start that is being sent; numbers rise from start to start."""
-        self._sent[number] = resources
+        """Subtract the resources of a start that is being sent. Numbers increase with each start.
+
+        They stay subtracted until a report accounts for that start.
+        """
+        self._unconfirmed_starts[number] = resources
         self._free -= resources
 
     def get_age_s(self, now: float) -> float:
-        """Return how old the last report is; 0 before the first."""
+        """Return the age of the last report, or 0 if there was none."""
         return 0.0 if self._reported_at is None else now - self._reported_at
 
     def update(self, report: CapacityReport, *, now: float) -> None:
-        """Take in a report."""
+        """Apply a report, minus the starts that the agent had not received yet."""
         self._reported_at = now
         self._is_accepting = report.is_accepting
-        for number in [number for number in self._sent if number <= report.seen]:
-            del self._sent[number]
+        for number in [number for number in self._unconfirmed_starts if number <= report.seen]:
+            del self._unconfirmed_starts[number]
         self._free = report.free
-        for resources in self._sent.values():
+        for resources in self._unconfirmed_starts.values():
             self._free -= resources
 
     def resize(self, capacity: Resources) -> None:
-        """Note what it has in all by now; runs go on also if they take more than that."""
+        """Set its total capacity. The free capacity may become negative, since runs continue."""
         self._free += capacity - self._capacity
         self._capacity = capacity
 
     def set_releases(self, rows: tuple[ComingRoom, ...], *, now: float) -> None:
-        """Take in an agent's word on room that comes free; one that can't be true says nothing."""
+        """Store the expected capacity releases; an invalid report counts as empty."""
         self.releases = rows if is_coming_sound(rows) else ()
         self.releases_reported_at = now
 
     def get_releases(self, now: float) -> tuple[ComingRoom, ...]:
-        """Return the room that still comes free, counted from now; none if it takes no starts."""
+        """Return the pending capacity releases, relative to now; none if it accepts no starts."""
         if not self.is_accepting:
             return ()
-        most_cpu = self._capacity.cpu - max(self._free.cpu, 0)
-        return age_coming(self.releases, age_s=now - self.releases_reported_at, most_cpu=most_cpu)
+        max_cpu = self._capacity.cpu - max(self._free.cpu, 0)
+        return age_coming(self.releases, age_s=now - self.releases_reported_at, most_cpu=max_cpu)
 
     def suspend(self) -> None:
-        """Send it nothing until the next report."""
+        """Send it no starts until the next report."""
         self._is_accepting = False
 
     def record_outcome(self, *, is_failure: bool) -> None:
-        """Take in that a task failed or ended well there."""
+        """Update its failure share with the outcome of a task."""
         newest = 1.0 if is_failure else 0.0
-        self._failed_share += FAILURE_WEIGHT * (newest - self._failed_share)
+        self._failure_share += FAILURE_WEIGHT * (newest - self._failure_share)
 
     def learn_slowness(
         self, ratio: float, *, now: float, weight: float = SPEED_LEARNING_RATE
     ) -> None:
-        """Take in one task's run time over the expected one, or with more weight several tasks'."""
+        """Update its slowness with the ratio of an actual to an expected run time.
+
+        A ``weight`` above the default is for a ratio that is based on several tasks.
+        """
         lowest, highest = SLOWNESS_RANGE
         if self.baseline_slowness is not None and weight <= SPEED_LEARNING_RATE:
-            highest = MOST_BY_ONE * self.baseline_slowness
+            highest = MAX_SINGLE_RUN_FACTOR * self.baseline_slowness
         ratio = min(max(ratio, lowest), highest)
-        slowness = self._get_seen_slowness(now)
+        slowness = self._get_observed_slowness(now)
         self._slowness = slowness + weight * (ratio - slowness)
         self._learned_at = now
 
     def get_slowness(self, now: float) -> float:
-        """Return its run times over the usual ones: 1 is usual, 2 takes twice as long."""
-        seen = self._get_seen_slowness(now)
+        """Return the ratio of its run times to the usual ones: 2 means twice as long."""
+        observed = self._get_observed_slowness(now)
         if self.baseline_slowness is None or self.has_turned_slow(now):
-            return seen
+            return observed
         return self.baseline_slowness
 
     def has_turned_slow(self, now: float) -> bool:
-        """Tell whether this owner has seen lately that it is slower than its kind."""
-        return self._get_seen_slowness(now) > self._lasting_bound
+        """Return whether it is currently much slower than its baseline."""
+        return self._get_observed_slowness(now) > self._temporary_slowness_threshold
 
     @property
-    def _lasting_bound(self) -> float:
-        """Up to which slowness it may simply be of its kind, and above which it turned slow."""
-        return USUAL_SLOWNESS * (self.baseline_slowness or 1.0)
-
-    def _get_seen_slowness(self, now: float) -> float:
-        """Return what this owner has seen by itself, of which too much fades."""
-        bound = self._lasting_bound
-        if self._slowness <= bound:
+    def _temporary_slowness_threshold(self) -> float:
+        """Slowness above which the worker is considered temporarily slow."""
+        return TEMPORARY_SLOWNESS_FACTOR * (self.baseline_slowness or 1.0)
+
+    def _get_observed_slowness(self, now: float) -> float:
+        """Return the slowness observed by this owner, which decays down to the threshold."""
+        threshold = self._temporary_slowness_threshold
+        if self._slowness <= threshold:
             return self._slowness
         age_s = now - self._learned_at
-        faded = self._slowness * float(0.5 ** (age_s / SLOWNESS_HALF_LIFE_S))
-        return max(bound, faded)
+        decayed = self._slowness * float(0.5 ** (age_s / SLOWNESS_HALF_LIFE_S))
+        return max(threshold, decayed)
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -326,7 +326,7 @@
         self.set_room(austin=0, waco=0, dallas=0)
         for _ in range(20):
             self.submit(make_step(4, label=f"rack-{NEAR}-0"))
-        with mock.patch.object(choices, "_has_room", wraps=choices._has_room) as has_room:
+        with mock.patch.object(choices, "_has_capacity", wraps=choices._has_capacity) as has_room:
             self.report(f"{FAR}-0", FULL)
         looked_at = {call.args[2].name for call in has_room.call_args_list}
         self.assertEqual({f"{FAR}-0"}, looked_at)
--- a/tests/core/scheduling/test_choices.py
+++ b/tests/core/scheduling/test_choices.py
@@ -44,20 +44,20 @@
 class ChoiceRoundTests(ChoiceTestCase):
     def test_room_on_a_worker_that_is_too_slow_does_not_count(self) -> None:
         choices = make_round(make_view("full", cpu=500), make_view("slow", cpu=9000, slowness=5.0))
-        self.assertEqual(500, choices.get_most_free("floor"))
+        self.assertEqual(500, choices.get_max_free_cpu("floor"))
         self.assertIsNone(choices.choose(self.job, self.task))
 
     def test_a_service_without_workers_has_no_room(self) -> None:
-        self.assertEqual(-1, make_round().get_most_free("floor"))
+        self.assertEqual(-1, make_round().get_max_free_cpu("floor"))
 
     def test_room_is_looked_at_again_after_a_start(self) -> None:
         view = make_view("w", cpu=1500)
         choices = make_round(view)
-        self.assertEqual(1500, choices.get_most_free("floor"))
+        self.assertEqual(1500, choices.get_max_free_cpu("floor"))
         self.assertIs(view, choices.choose(self.job, self.task))
         view.reserve(self.task.step.resources, number=1)
         choices.note_start("floor")
-        self.assertEqual(500, choices.get_most_free("floor"))
+        self.assertEqual(500, choices.get_max_free_cpu("floor"))
         self.assertIsNone(choices.choose(self.job, self.task))
 
 
--- a/tests/core/scheduling/test_speeds.py
+++ b/tests/core/scheduling/test_speeds.py
@@ -21,8 +21,8 @@
     WorkerSpeed,
     WorkerView,
 )
-from dalemast.core.scheduling.choices import TOO_SLOW
-from dalemast.core.scheduling.speeds import MOST_KEPT, REFRESH_PAUSE_S, KnownSpeeds
+from dalemast.core.scheduling.choices import MAX_RELATIVE_SLOWNESS
+from dalemast.core.scheduling.speeds import MAX_KEPT_REPORTS, REFRESH_INTERVAL_S, KnownSpeeds
 from dalemast.core.supervision import SpeedRecord
 from dalemast.core.supervision.runs import DECLARED_ERROR
 from dalemast.core.workloads import Resources
@@ -77,7 +77,7 @@
 
     def tell(self, name: str, slowness: float, *, runs: int = RUNS) -> None:
         self.speeds.note_reported(self.views[name], WorkerSpeed(slowness=slowness, runs=runs))
-        self.now += REFRESH_PAUSE_S
+        self.now += REFRESH_INTERVAL_S
         self.speeds.refresh(now=self.now)
 
     def get(self, name: str) -> float:
@@ -145,7 +145,7 @@
     def test_evidence_adds_up(self) -> None:
         for _ in range(12):
             self.views["w1"].learn_slowness(4.0, now=self.now)
-        self.assertGreater(self.get("w1"), TOO_SLOW)
+        self.assertGreater(self.get("w1"), MAX_RELATIVE_SLOWNESS)
 
     def test_runs_as_slow_as_its_kind_do_not_make_it_slower(self) -> None:
         for _ in range(30):
@@ -231,11 +231,11 @@
         self.assertEqual(1.0, self.scheduler.workers["another life"].get_slowness(NOW))
 
     def test_words_of_lives_that_have_gone_are_bounded(self) -> None:
-        for number in range(2 * MOST_KEPT):
+        for number in range(2 * MAX_KEPT_REPORTS):
             self.add_worker(f"l{number}")
             self.scheduler.note_speed(f"l{number}", WorkerSpeed(slowness=1.0, runs=RUNS))
             self.scheduler.lose_worker(f"l{number}", now=NOW)
-        self.assertEqual(MOST_KEPT, len(self.scheduler._speeds._kept))
+        self.assertEqual(MAX_KEPT_REPORTS, len(self.scheduler._speeds._kept_reports))
 
     def test_words_of_unknown_workers_are_passed_over(self) -> None:
         self.scheduler.note_speed("nobody", WorkerSpeed(slowness=2.0, runs=9))
--- a/tests/core/scheduling/test_wants.py
+++ b/tests/core/scheduling/test_wants.py
@@ -75,7 +75,7 @@
             started_at=5000.0,
         )
         other.submit(make_job("a", make_step(1), queue=PLAIN), now=5010.0)
-        after = other._wants.get("floor")
+        after = other._capacity_requests.get("floor")
         for mine, theirs in zip(before.rank, after.rank, strict=True):
             self.assertAlmostEqual(mine, theirs)
 
