--- a/tests/core/scheduling/base.py
+++ b/tests/core/scheduling/base.py
@@ -1,4 +1,4 @@
-"""What the tests of the scheduler share."""
+"""Helpers for the tests of the scheduler."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 LOST_RUN_S = 1.2
 RUN_S = 0.1
-"""How long the runs of these tests take."""
+"""Run time that the tests report."""
 CORE = Resources(cpu=1000, memory_mb=64)
 
 
@@ -47,7 +47,7 @@
 
 
 class SchedulerTestCase(testtools.TestCase):
-    """A scheduler with workers that are told of by hand."""
+    """A scheduler whose workers are added by the tests."""
 
     policy = LoadPolicy()
 
--- a/tests/core/scheduling/test_choices.py
+++ b/tests/core/scheduling/test_choices.py
@@ -1,4 +1,4 @@
-"""Choices of a worker: what one round looks at once, and when it looks again."""
+"""Selection of workers: values that a round computes once, and excluded workers."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class ChoiceTestCase(TestCase):
-    """A job of two tasks, the first of which looks for a worker."""
+    """A job of two tasks, the first of which needs a worker."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -42,15 +42,15 @@
 
 
 class ChoiceRoundTests(ChoiceTestCase):
-    def test_room_on_a_worker_that_is_too_slow_does_not_count(self) -> None:
+    def test_free_cpu_of_a_slow_worker_is_ignored(self) -> None:
         choices = make_round(make_view("full", cpu=500), make_view("slow", cpu=9000, slowness=5.0))
         self.assertEqual(500, choices.get_max_free_cpu("floor"))
         self.assertIsNone(choices.choose(self.job, self.task))
 
-    def test_a_service_without_workers_has_no_room(self) -> None:
+    def test_a_service_without_workers_has_no_free_cpu(self) -> None:
         self.assertEqual(-1, make_round().get_max_free_cpu("floor"))
 
-    def test_room_is_looked_at_again_after_a_start(self) -> None:
+    def test_free_cpu_is_computed_again_after_a_start(self) -> None:
         view = make_view("w", cpu=1500)
         choices = make_round(view)
         self.assertEqual(1500, choices.get_max_free_cpu("floor"))
@@ -62,18 +62,21 @@
 
 
 class LearnedSlownessTests(ChoiceTestCase):
-    """What is learned of sound workers scatters by a third, the more widely the more there are."""
-
-    def test_the_luckiest_of_many_does_not_make_the_others_look_slow(self) -> None:
-        scatter = (0.6, 0.8, 0.9, 1.0, 1.0, 1.1, 1.2, 1.3, 1.4)
-        views = [make_view(f"w{n}", cpu=500, slowness=pace) for n, pace in enumerate(scatter)]
+    """Noise in the estimates must not exclude sound workers."""
+
+    def test_the_fastest_of_many_does_not_exclude_the_others(self) -> None:
+        slowness_values = (0.6, 0.8, 0.9, 1.0, 1.0, 1.1, 1.2, 1.3, 1.4)
+        views = [
+            make_view(f"w{n}", cpu=500, slowness=slowness)
+            for n, slowness in enumerate(slowness_values)
+        ]
         views[-1].update(
             CapacityReport(seen=0, free=Resources(cpu=9000, memory_mb=9000), is_accepting=True),
             now=NOW,
         )
         self.assertIs(views[-1], make_round(*views).choose(self.job, self.task))
 
-    def test_slow_workers_are_left_out_however_many_they_are(self) -> None:
+    def test_slow_workers_are_excluded_also_when_they_are_many(self) -> None:
         sound = [make_view(f"w{n}", cpu=500) for n in range(6)]
         slow = [make_view(f"s{n}", cpu=9000, slowness=2.5) for n in range(5)]
         choices = make_round(*sound, *slow)
@@ -81,7 +84,7 @@
 
 
 class SuspectTests(ChoiceTestCase):
-    """Several workers fail half of what they start, and seem sound to their agents."""
+    """Workers that fail half of their tasks without being suspected by their agents."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -94,26 +97,26 @@
         self.task.failures = 1
         self.task.avoided.add("gone")
 
-    def test_a_first_attempt_may_go_to_any(self) -> None:
+    def test_a_first_attempt_may_use_a_suspect_worker(self) -> None:
         choices = make_round(self.failing, self.sound)
         self.assertIs(self.failing, choices.choose(self.job, self.task))
 
-    def test_a_task_that_failed_goes_to_a_worker_without_failures(self) -> None:
+    def test_a_failed_task_uses_a_worker_without_failures(self) -> None:
         self.fail_task()
         choices = make_round(self.failing, self.sound)
         self.assertIs(self.sound, choices.choose(self.job, self.task))
 
-    def test_it_waits_for_one_that_is_full(self) -> None:
+    def test_a_failed_task_waits_for_a_full_worker_without_failures(self) -> None:
         self.fail_task()
         choices = make_round(self.failing, make_view("full", cpu=9000))
         choices._workers["full"].reserve(Resources(cpu=9000), number=1)
         self.assertIsNone(choices.choose(self.job, self.task))
 
-    def test_it_does_not_wait_when_all_fail(self) -> None:
+    def test_a_failed_task_does_not_wait_if_all_workers_are_suspect(self) -> None:
         self.fail_task()
         self.assertIs(self.failing, make_round(self.failing).choose(self.job, self.task))
 
-    def test_two_tasks_that_end_well_clear_a_worker(self) -> None:
+    def test_two_successes_clear_a_suspect_worker(self) -> None:
         self.failing.record_outcome(is_failure=False)
         self.failing.record_outcome(is_failure=False)
         self.assertFalse(self.failing.is_suspect)
--- a/tests/core/scheduling/test_evacuations.py
+++ b/tests/core/scheduling/test_evacuations.py
@@ -1,4 +1,4 @@
-"""What an owner does while a data centre is evacuated."""
+"""Evacuated data centres: no starts there, while runs continue and jobs are not infeasible."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 class EvacuationTests(SchedulerTestCase):
     def add_worker_in(self, data_centre: str, *, now: float = 10.0) -> None:
-        """Add a worker that is named for its data centre."""
+        """Add a worker that is named after its data centre."""
         view = WorkerView(
             name=data_centre,
             service="floor",
@@ -28,24 +28,24 @@
             data_centre=data_centre,
         )
         self.scheduler.add_worker(view, now=now)
-        self.report_room(data_centre, now=now)
+        self.report_capacity(data_centre, now=now)
 
-    def report_room(self, worker: str, *, now: float) -> list:
+    def report_capacity(self, worker: str, *, now: float) -> list:
         report = CapacityReport(seen=0, free=CAPACITY, is_accepting=True)
         return self.scheduler.update_worker(worker, report, now=now)
 
-    def get_started(self, actions: list) -> list[str]:
+    def get_started_workers(self, actions: list) -> list[str]:
         return [action.worker for action in actions if isinstance(action, StartTask)]
 
-    def test_nothing_new_starts_there_also_if_its_agents_have_not_heard(self) -> None:
+    def test_no_task_starts_there_even_if_its_agents_accept_starts(self) -> None:
         self.add_worker_in("waco")
         self.add_worker_in("austin")
         self.scheduler.set_evacuated(frozenset({"waco"}), now=10.0)
-        self.report_room("waco", now=10.1)
+        self.report_capacity("waco", now=10.1)
         actions = self.scheduler.submit(make_job("a", make_step(4)), now=10.2)
-        self.assertEqual(["austin"] * 4, self.get_started(actions))
+        self.assertEqual(["austin"] * 4, self.get_started_workers(actions))
 
-    def test_what_runs_there_goes_on_and_its_end_counts(self) -> None:
+    def test_active_runs_continue_and_their_end_counts(self) -> None:
         self.add_worker_in("waco")
         self.scheduler.submit(make_job("a"), now=10.0)
         actions = self.scheduler.set_evacuated(frozenset({"waco"}), now=10.1)
@@ -62,23 +62,25 @@
         failed = self.scheduler.end_run(
             "waco", "a", TaskKey(0, 0), 1, EndReason.FAILED, run_s=0.1, now=10.2
         )
-        self.assertEqual([], self.get_started(failed))
+        self.assertEqual([], self.get_started_workers(failed))
         self.add_worker_in("austin", now=10.3)
         self.assertEqual({"austin"}, set(self.scheduler.open_jobs["a"].workers))
 
-    def test_a_worker_that_comes_into_reach_there_gets_nothing(self) -> None:
+    def test_a_worker_that_is_added_there_gets_no_tasks(self) -> None:
         self.scheduler.set_evacuated(frozenset({"waco"}), now=9.0)
         self.add_worker_in("waco")
-        self.assertEqual([], self.get_started(self.scheduler.submit(make_job("a"), now=10.1)))
+        self.assertEqual(
+            [], self.get_started_workers(self.scheduler.submit(make_job("a"), now=10.1))
+        )
 
-    def test_waiting_work_uses_the_room_as_soon_as_it_is_taken_back(self) -> None:
+    def test_waiting_jobs_start_as_soon_as_the_evacuation_is_withdrawn(self) -> None:
         self.add_worker_in("waco")
         self.scheduler.set_evacuated(frozenset({"waco"}), now=10.0)
         self.scheduler.submit(make_job("a"), now=10.1)
         actions = self.scheduler.set_evacuated(frozenset(), now=10.2)
-        self.assertEqual(["waco"], self.get_started(actions))
+        self.assertEqual(["waco"], self.get_started_workers(actions))
 
-    def test_a_job_that_only_its_workers_can_hold_is_refused_and_not_called_hopeless(self) -> None:
+    def test_a_job_that_only_evacuated_workers_can_run_is_refused_not_failed(self) -> None:
         self.add_worker_in("waco")
         self.scheduler.set_evacuated(frozenset({"waco"}), now=20.0)
         job = make_job("a", make_step(label="waco"))
--- a/tests/core/scheduling/test_properties.py
+++ b/tests/core/scheduling/test_properties.py
@@ -1,8 +1,6 @@
-"""Whatever agents, workers and owners go through, no two runs of a task are ordered at a time.
+"""Two runs of a task must never overlap, whatever happens to workers, agents and links.
 
-The model below is one owner with its scheduler, and workers whose runs end, are refused, get lost
-and come back in any order. A run counts as alive on its worker until the model says that it has
-ended, which for a lost agent is the latest moment that the fleet's times allow.
+A run counts as alive until it ends, or until the lost-run limit for an unreachable agent.
 """
 
 from __future__ import annotations
@@ -38,7 +36,7 @@
 
 
 class OwnerMachine(RuleBasedStateMachine):
-    """Drives a scheduler and keeps what truly runs."""
+    """Drives a scheduler and tracks which runs are alive."""
 
     policy = LoadPolicy()
 
@@ -103,7 +101,7 @@
                     pass
 
     def has_begun(self, job_id: str) -> bool:
-        """Tell whether a run of a job was ever carried out, or may yet be."""
+        """Return whether a run of a job was ever carried out, or may still be."""
         may_run = any(run[0] == job_id for runs in self.alive.values() for run in runs)
         return may_run or job_id in self.ran
 
--- a/tests/core/scheduling/test_scheduler.py
+++ b/tests/core/scheduling/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The owner's decisions: starts, ends, retries, refusals, and runs out of reach."""
+"""Decisions of the scheduler: starts, ends, retries, refusals and lost runs."""
 
 from __future__ import annotations
 
@@ -18,22 +18,22 @@
 )
 
 OBJECTIVE_S = 0.22
-"""Of the jobs below: a stretch of 1.6 over 0.1 s, and 0.06 s."""
+"""Objective of the jobs below, in seconds."""
 
 
 class StartTests(SchedulerTestCase):
-    def test_all_tasks_start_while_there_is_room(self) -> None:
+    def test_all_tasks_start_while_there_is_capacity(self) -> None:
         self.add_worker("w1")
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(4)), now=10.0))
         self.assertEqual([TaskKey(0, n) for n in range(4)], [start.task for start in starts])
         self.assertEqual({1}, {start.run for start in starts})
 
-    def test_room_is_counted_before_the_agent_confirms(self) -> None:
+    def test_capacity_is_reserved_before_the_agent_confirms(self) -> None:
         self.add_worker("w1", cpu=3000)
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(5)), now=10.0))
         self.assertEqual(3, len(starts))
 
-    def test_a_report_that_has_not_seen_a_start_does_not_free_its_room(self) -> None:
+    def test_a_report_without_a_start_does_not_free_its_capacity(self) -> None:
         self.add_worker("w1", cpu=2000)
         self.scheduler.submit(make_job("a", make_step(3)), now=10.0)
         report = CapacityReport(seen=1, free=Resources(cpu=1000, memory_mb=1000), is_accepting=True)
@@ -50,14 +50,14 @@
         starts = get_starts(self.scheduler.submit(job, now=10.0))
         self.assertEqual({"w2"}, {start.worker for start in starts})
 
-    def test_a_step_is_spread_as_asked(self) -> None:
+    def test_a_step_is_spread_over_workers(self) -> None:
         self.add_worker("w1")
         self.add_worker("w2")
         job = make_job("a", make_step(4, max_per_worker=1))
         starts = get_starts(self.scheduler.submit(job, now=10.0))
         self.assertEqual(["w1", "w2"], sorted(start.worker for start in starts))
 
-    def test_a_later_step_waits_for_all_tasks_of_the_earlier(self) -> None:
+    def test_a_dependent_step_waits_for_all_tasks_of_the_earlier(self) -> None:
         self.add_worker("w1")
         job = make_job("a", make_step(2), make_step(1, after=(0,)))
         first, second = get_starts(self.scheduler.submit(job, now=10.0))
@@ -65,7 +65,7 @@
         starts = get_starts(self.end(second, EndReason.DONE))
         self.assertEqual([TaskKey(1, 0)], [start.task for start in starts])
 
-    def test_a_near_worker_goes_before_a_far_one(self) -> None:
+    def test_a_worker_in_the_same_data_centre_is_preferred(self) -> None:
         self.add_worker("far", is_same_data_centre=False)
         self.add_worker("near")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
@@ -80,15 +80,15 @@
         (finished,) = get_finished(self.end(second, EndReason.DONE))
         self.assertIs(JobState.SUCCEEDED, finished.state)
 
-    def test_an_ended_job_is_judged_by_what_it_ran_and_not_by_what_was_declared(self) -> None:
-        """Else a calm fleet counts jobs as late that were only declared too short."""
+    def test_the_objective_of_a_finished_job_follows_its_actual_run_time(self) -> None:
+        """A job must not count as late only because its declared time was too short."""
         self.add_worker("w1")
         declared = make_step(estimate_s=0.01)
         (start,) = get_starts(self.scheduler.submit(make_job("a", declared), now=10.0))
         (finished,) = get_finished(self.end(start, EndReason.DONE))
         self.assertLess(RUN_S, finished.objective_s)
 
-    def test_a_failed_run_is_tried_elsewhere(self) -> None:
+    def test_a_failed_run_is_retried_elsewhere(self) -> None:
         self.add_worker("w1")
         self.add_worker("w2")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
@@ -96,7 +96,7 @@
         self.assertNotEqual(start.worker, again.worker)
         self.assertEqual(2, again.run)
 
-    def test_a_failed_task_waits_for_another_worker_to_have_room(self) -> None:
+    def test_a_failed_task_waits_for_capacity_on_another_worker(self) -> None:
         self.add_worker("w1")
         self.add_worker("w2", cpu=1000)
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(5)), now=10.0))
@@ -125,19 +125,19 @@
         (start,) = get_starts(self.scheduler.submit(job, now=10.0))
         self.assertEqual(1, len(get_starts(self.end(start, EndReason.STOPPED))))
 
-    def test_an_old_runs_end_changes_nothing(self) -> None:
+    def test_the_end_of_an_earlier_run_is_ignored(self) -> None:
         self.add_worker("w1")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.end(start, EndReason.STOPPED)
         self.assertEqual([], self.end(start, EndReason.DONE))
 
-    def test_a_used_run_number_is_followed_by_the_next(self) -> None:
+    def test_a_used_run_number_is_skipped(self) -> None:
         self.add_worker("w1")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         (again,) = get_starts(self.end(start, EndReason.RUN_USED))
         self.assertEqual(start.run + 1, again.run)
 
-    def test_a_cancelled_job_is_stopped_and_forgotten(self) -> None:
+    def test_a_cancelled_job_is_stopped_and_removed(self) -> None:
         self.add_worker("w1")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.assertEqual([start.task], [s.task for s in get_stops(self.scheduler.cancel("a"))])
@@ -145,7 +145,7 @@
 
 
 class LostWorkerTests(SchedulerTestCase):
-    def test_a_lost_run_is_not_tried_before_it_has_surely_ended(self) -> None:
+    def test_a_lost_run_is_not_retried_before_it_must_have_ended(self) -> None:
         self.add_worker("w1")
         self.scheduler.submit(make_job("a"), now=10.0)
         self.add_worker("w2")
@@ -154,7 +154,7 @@
         (again,) = get_starts(self.scheduler.tick(now=11.0 + LOST_RUN_S))
         self.assertEqual(("w2", 2), (again.worker, again.run))
 
-    def test_a_run_that_the_agent_still_lists_goes_on(self) -> None:
+    def test_a_run_that_the_agent_still_lists_continues(self) -> None:
         self.add_worker("w1")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.scheduler.lose_worker("w1", now=10.1)
@@ -164,7 +164,7 @@
         self.assertEqual([], get_starts(self.scheduler.tick(now=20.0)))
         self.assertEqual(1, len(get_finished(self.end(start, EndReason.DONE))))
 
-    def test_a_run_that_the_agent_does_not_list_is_tried_at_once(self) -> None:
+    def test_a_run_that_the_agent_does_not_list_is_retried_immediately(self) -> None:
         self.add_worker("w1")
         self.scheduler.submit(make_job("a"), now=10.0)
         self.scheduler.lose_worker("w1", now=10.1)
@@ -172,13 +172,13 @@
         (again,) = get_starts(self.scheduler.reconcile("w1", [], now=10.2))
         self.assertEqual(2, again.run)
 
-    def test_a_listed_run_that_nobody_wants_is_stopped(self) -> None:
+    def test_a_listed_run_that_is_not_expected_is_stopped(self) -> None:
         self.add_worker("w1")
         listed = [("gone", TaskKey(0, 0), 3)]
         (stop,) = get_stops(self.scheduler.reconcile("w1", listed, now=10.2))
         self.assertEqual(("gone", 3), (stop.job_id, stop.run))
 
-    def test_cancelling_names_lost_runs_as_well(self) -> None:
+    def test_cancelling_stops_lost_runs_too(self) -> None:
         self.add_worker("w1")
         self.scheduler.submit(make_job("a"), now=10.0)
         self.scheduler.lose_worker("w1", now=10.1)
@@ -186,8 +186,8 @@
 
 
 class PaceTests(SchedulerTestCase):
-    def test_a_worker_that_its_agent_calls_slow_gets_no_tasks(self) -> None:
-        """Each of ten owners lost tasks on seven slow workers before it knew them."""
+    def test_a_worker_that_its_agent_reports_as_slow_gets_no_tasks(self) -> None:
+        """An owner must not have to lose tasks on a slow worker before it avoids the worker."""
         self.add_worker("slow", cpu=8000)
         self.add_worker("quick", cpu=8000, is_same_data_centre=False)
         free = Resources(cpu=8000, memory_mb=65536)
@@ -197,7 +197,7 @@
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(4)), now=10.3))
         self.assertEqual({"quick"}, {start.worker for start in starts})
 
-    def test_a_pace_within_the_error_of_declared_times_says_nothing(self) -> None:
+    def test_a_pace_within_the_error_of_declared_times_is_ignored(self) -> None:
         self.add_worker("w")
         free = Resources(cpu=4000, memory_mb=65536)
         report = CapacityReport(seen=0, free=free, is_accepting=True, pace=2.0)
@@ -206,7 +206,7 @@
 
 
 class DistanceTests(SchedulerTestCase):
-    def test_a_run_away_from_its_data_is_not_taken_for_a_slow_worker(self) -> None:
+    def test_a_run_away_from_its_data_does_not_make_the_worker_slow(self) -> None:
         self.add_worker("w", labels=("r2",))
         step = make_step(2, data_rack="r1")
         first, second = get_starts(self.scheduler.submit(make_job("a", step), now=10.0))
@@ -221,19 +221,19 @@
 
 
 class RefusalTests(SchedulerTestCase):
-    def test_a_young_owner_keeps_what_can_still_be_late_until_it_knows_its_workers(self) -> None:
-        """After a restart workers become known within 0.6 s; draws were refused meanwhile."""
+    def test_a_new_owner_keeps_jobs_that_can_still_be_late(self) -> None:
+        """A restarted owner must not refuse jobs before its workers have connected."""
         scheduler = self.scheduler
         self.assertEqual([], scheduler.submit(make_job("a"), now=0.1))
         self.assertEqual([], get_refused(scheduler.tick(now=0.1 + 2 * OBJECTIVE_S)))
         self.assertEqual(1, len(get_starts(self.add_worker("w"))))
 
-    def test_a_young_owner_refuses_what_can_not_even_be_late(self) -> None:
+    def test_a_new_owner_refuses_jobs_past_their_late_limit(self) -> None:
         self.scheduler.submit(make_job("a"), now=0.1)
         (refused,) = get_refused(self.scheduler.tick(now=0.1 + 3 * OBJECTIVE_S))
         self.assertIs(RefusalCause.NO_WORKERS, refused.cause)
 
-    def test_a_job_that_can_only_be_late_waits_behind_those_that_can_be_on_time(self) -> None:
+    def test_a_late_job_waits_behind_jobs_that_can_be_on_time(self) -> None:
         scheduler = self.scheduler
         scheduler.submit(make_job("late"), now=0.1)
         scheduler.submit(make_job("in-time"), now=0.5)
@@ -241,7 +241,7 @@
         (start,) = get_starts(self.add_worker("w", cpu=1000, now=0.5))
         self.assertEqual("in-time", start.job.id)
 
-    def test_a_job_that_can_not_be_on_time_is_refused_with_a_time_to_come_back(self) -> None:
+    def test_a_job_that_can_not_be_on_time_is_refused_with_a_retry_time(self) -> None:
         self.add_worker("w1", cpu=1000)
         self.scheduler.submit(make_job("a"), now=10.0)
         self.scheduler.submit(make_job("b"), now=10.0)
@@ -252,7 +252,7 @@
         self.assertGreater(refused.retry_after_s, 0.0)
         self.assertEqual((1, 1000, 0), (refused.workers, refused.needed_cpu, refused.free_cpu))
 
-    def test_a_service_without_workers_is_told_apart_from_full_ones(self) -> None:
+    def test_a_service_without_workers_has_its_own_refusal_cause(self) -> None:
         self.add_worker("w", service="maps")
         self.scheduler.submit(make_job("a"), now=10.0)
         (refused,) = get_refused(self.scheduler.tick(now=10.5))
@@ -263,25 +263,25 @@
         self.scheduler.submit(make_job("a", make_step(2)), now=10.0)
         self.assertEqual([], get_refused(self.scheduler.tick(now=20.0)))
 
-    def test_a_start_that_an_agent_did_not_take_does_not_count_as_begun(self) -> None:
+    def test_a_start_that_an_agent_refused_does_not_count_as_started(self) -> None:
         self.add_worker("w1", cpu=1000)
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         self.assertEqual([], get_starts(self.end(start, EndReason.NOT_TAKEN)))
         (refused,) = get_refused(self.scheduler.tick(now=11.0))
         self.assertIs(RefusalCause.NO_WORKERS, refused.cause)
 
-    def test_a_hopeless_job_is_told_so_at_once(self) -> None:
+    def test_an_infeasible_job_fails_immediately(self) -> None:
         self.add_worker("w1", cpu=1000)
         job = make_job("a", make_step(resources=Resources(cpu=2000)))
         (finished,) = get_finished(self.scheduler.submit(job, now=10.0))
         self.assertIs(JobState.FAILED, finished.state)
 
-    def test_a_young_owner_calls_nothing_hopeless(self) -> None:
+    def test_a_new_owner_considers_no_job_infeasible(self) -> None:
         self.add_worker("w1", cpu=1000)
         job = make_job("a", make_step(resources=Resources(cpu=2000)))
         self.assertEqual([], self.scheduler.submit(job, now=5.0))
 
-    def test_a_worker_that_was_seen_before_keeps_hope(self) -> None:
+    def test_a_lost_worker_still_makes_a_job_feasible(self) -> None:
         self.add_worker("w1", cpu=4000)
         self.add_worker("w2", cpu=1000)
         self.scheduler.lose_worker("w1", now=10.0)
@@ -307,7 +307,7 @@
         super().setUp()
         self.add_worker("w1")
 
-    def test_a_run_that_stands_still_is_stopped_first_and_then_moved(self) -> None:
+    def test_a_stalled_run_is_stopped_first_and_then_moved(self) -> None:
         (stop,) = self.report(make_slow(is_stalled=True))
         self.assertEqual("w1", stop.worker)
         (start,) = get_starts(
@@ -320,14 +320,14 @@
     def test_a_long_run_on_a_sound_worker_is_left_alone(self) -> None:
         self.assertEqual([], self.report(make_slow(worker_pace=1.2)))
 
-    def test_a_run_on_a_worker_that_crawls_is_moved(self) -> None:
+    def test_a_run_on_a_slow_worker_is_moved(self) -> None:
         self.assertEqual(1, len(self.report(make_slow(worker_pace=5.0))))
 
     def test_a_run_that_is_nearly_over_is_left_alone(self) -> None:
         report = make_slow(age_s=9.0, total_s=10.0, worker_pace=5.0)
         self.assertEqual([], self.report(report))
 
-    def test_tasks_of_the_same_step_tell_a_slow_run_from_a_long_one(self) -> None:
+    def test_finished_tasks_of_the_step_show_that_a_run_is_slow(self) -> None:
         self.add_worker("w2")
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(3)), now=10.0))
         for start in starts[1:]:
@@ -339,8 +339,8 @@
         )
         self.assertEqual([slow.task], [stop.task for stop in get_stops(actions)])
 
-    def test_a_task_that_is_long_everywhere_is_moved_once_and_blamed_on_one_worker(self) -> None:
-        """One of four tasks took 2.6 times as long, was moved 71 times, and never ended."""
+    def test_a_long_task_is_moved_once_and_marks_one_worker_as_slow(self) -> None:
+        """A long task must not be moved again and again, and so never end."""
         for number in range(2, 9):
             self.add_worker(f"w{number}")
         starts = get_starts(self.scheduler.submit(make_job("a", make_step(4)), now=10.0))
@@ -372,7 +372,7 @@
         for _ in range(3):
             self.scheduler.workers[name].learn_slowness(6.0, now=now, weight=0.4)
 
-    def test_a_slow_worker_gets_nothing_while_the_evidence_is_fresh(self) -> None:
+    def test_a_slow_worker_gets_no_tasks_until_its_slowness_decays(self) -> None:
         self.add_worker("w1")
         self.add_worker("w2")
         self.make_slow("w1")
@@ -382,7 +382,7 @@
         later = get_starts(self.scheduler.tick(now=15.0))
         self.assertEqual({"w1"}, {start.worker for start in later})
 
-    def test_workers_that_are_all_slow_are_used(self) -> None:
+    def test_workers_are_used_if_all_are_slow(self) -> None:
         self.add_worker("w1")
         self.make_slow("w1")
         self.assertEqual(1, len(get_starts(self.scheduler.submit(make_job("a"), now=10.0))))
@@ -398,8 +398,8 @@
 
 
 class BusyWorkerTests(SchedulerTestCase):
-    def test_a_worker_whose_task_has_ended_is_busy_no_more(self) -> None:
-        """Its agent has nothing to beat for, while the job's other task goes on elsewhere."""
+    def test_a_worker_whose_task_has_ended_is_not_busy(self) -> None:
+        """Its agent sends no heartbeats for this owner and must not be considered lost."""
         self.add_worker("w1", cpu=1000)
         self.add_worker("w2", cpu=1000)
         self.scheduler.submit(make_job("a", make_step(2)), now=10.0)
--- a/tests/core/scheduling/test_speeds.py
+++ b/tests/core/scheduling/test_speeds.py
@@ -1,4 +1,4 @@
-"""Speeds of uneven workers at their owner: words, kinds, and what passes."""
+"""Speeds of workers at their owner: reports, labels and temporary slowness."""
 
 from __future__ import annotations
 
@@ -68,14 +68,16 @@
         self.speeds = KnownSpeeds(workers=self.views)
         self.now = NOW
 
-    def add(self, name: str, *labels: str, told: float | None = None, at: str = "") -> WorkerView:
+    def add(
+        self, name: str, *labels: str, slowness: float | None = None, at: str = ""
+    ) -> WorkerView:
         view = self.views[name] = make_view(name, *labels, data_centre=at)
         self.speeds.note_added(view)
-        if told is not None:
-            self.tell(name, told)
+        if slowness is not None:
+            self.report(name, slowness)
         return view
 
-    def tell(self, name: str, slowness: float, *, runs: int = RUNS) -> None:
+    def report(self, name: str, slowness: float, *, runs: int = RUNS) -> None:
         self.speeds.note_reported(self.views[name], WorkerSpeed(slowness=slowness, runs=runs))
         self.now += REFRESH_INTERVAL_S
         self.speeds.refresh(now=self.now)
@@ -84,109 +86,111 @@
         return self.views[name].get_slowness(self.now)
 
 
-class WordTests(KnownSpeedsTestCase):
-    def test_words_count_over_the_middle_worker(self) -> None:
+class ReportTests(KnownSpeedsTestCase):
+    def test_baselines_are_relative_to_the_median_worker(self) -> None:
         for number, speed in enumerate(SPEEDS):
-            self.add(f"w{number}", told=1.2 / speed)
+            self.add(f"w{number}", slowness=1.2 / speed)
         self.assertAlmostEqual(1 / 0.6, self.get("w0"))
         self.assertAlmostEqual(1.0, self.get("w1"))
         self.assertAlmostEqual(1 / 1.6, self.get("w2"))
 
-    def test_absurd_words_harm_nobody(self) -> None:
+    def test_invalid_reports_are_ignored(self) -> None:
         for number, speed in enumerate(SPEEDS):
-            self.add(f"w{number}", told=1 / speed)
+            self.add(f"w{number}", slowness=1 / speed)
         before = [self.get(name) for name in self.views]
-        for word in (0.0, -1.0, math.nan, math.inf, -math.inf, 1e9, 1e-9):
-            self.tell("w0", word)
-        self.tell("w0", 1.0, runs=0)
-        self.tell("w0", 1.0, runs=-1)
+        for slowness in (0.0, -1.0, math.nan, math.inf, -math.inf, 1e9, 1e-9):
+            self.report("w0", slowness)
+        self.report("w0", 1.0, runs=0)
+        self.report("w0", 1.0, runs=-1)
         self.assertEqual(before, [self.get(name) for name in self.views])
 
-    def test_a_plausible_lie_moves_no_other_worker(self) -> None:
+    def test_a_wrong_report_changes_no_other_worker(self) -> None:
         for number, speed in enumerate(SPEEDS * 3):
-            self.add(f"w{number}", told=1 / speed)
+            self.add(f"w{number}", slowness=1 / speed)
         before = [self.get(name) for name in self.views]
-        self.tell("w0", 9.0)
+        self.report("w0", 9.0)
         self.assertEqual(before[1:], [self.get(name) for name in self.views][1:])
 
-    def test_without_a_word_own_evidence_counts_as_before(self) -> None:
+    def test_without_a_report_the_observed_slowness_counts(self) -> None:
         view = self.add("w")
         view.learn_slowness(1.4, now=self.now, weight=1.0)
         self.assertEqual(1.4, view.get_slowness(self.now))
 
-    def test_words_on_fewer_workers_than_tell_what_is_usual_do_not_count(self) -> None:
+    def test_reports_on_too_few_workers_give_no_baseline(self) -> None:
         for name in ("w0", "w1"):
-            self.add(name, told=3.0)
+            self.add(name, slowness=3.0)
         self.assertEqual([None, None], [view.baseline_slowness for view in self.views.values()])
-        self.add("w2", told=1.5)
+        self.add("w2", slowness=1.5)
         self.assertEqual([1.0, 1.0, 0.5], [self.get(name) for name in self.views])
 
 
-class PassingTests(KnownSpeedsTestCase):
-    """A worker that turns slow in passing beside one that simply is of a slow kind."""
+class TemporarySlownessTests(KnownSpeedsTestCase):
+    """Temporary slowness must decay, while a slow baseline must not."""
 
     def setUp(self) -> None:
         super().setUp()
         for number, speed in enumerate(SPEEDS):
-            self.add(f"w{number}", told=1 / speed)
+            self.add(f"w{number}", slowness=1 / speed)
 
-    def test_a_slow_kind_stays_so_without_evidence(self) -> None:
+    def test_a_slow_baseline_does_not_decay(self) -> None:
         self.now += 100.0
         self.assertAlmostEqual(1 / 0.6, self.get("w0"))
 
-    def test_what_owners_see_beyond_the_kind_fades(self) -> None:
-        for name, kind in (("w0", 1 / 0.6), ("w1", 1.0)):
-            self.views[name].learn_slowness(5 * kind, now=self.now, weight=1.0)
-            self.assertAlmostEqual(5 * kind, self.get(name))
+    def test_slowness_above_the_baseline_decays(self) -> None:
+        for name, baseline in (("w0", 1 / 0.6), ("w1", 1.0)):
+            self.views[name].learn_slowness(5 * baseline, now=self.now, weight=1.0)
+            self.assertAlmostEqual(5 * baseline, self.get(name))
         self.now += 10.0
         self.assertAlmostEqual(1 / 0.6, self.get("w0"))
         self.assertAlmostEqual(1.0, self.get("w1"))
 
-    def test_evidence_adds_up(self) -> None:
+    def test_several_slow_tasks_add_up(self) -> None:
         for _ in range(12):
             self.views["w1"].learn_slowness(4.0, now=self.now)
         self.assertGreater(self.get("w1"), MAX_RELATIVE_SLOWNESS)
 
-    def test_runs_as_slow_as_its_kind_do_not_make_it_slower(self) -> None:
+    def test_runs_near_the_baseline_do_not_change_the_slowness(self) -> None:
         for _ in range(30):
             self.views["w0"].learn_slowness(1.3 / 0.6, now=self.now)
         self.assertAlmostEqual(1 / 0.6, self.get("w0"))
 
 
-class KindTests(KnownSpeedsTestCase):
-    """A new worker of a known kind."""
+class LabelTests(KnownSpeedsTestCase):
+    """New workers get a baseline from their labels."""
 
-    def add_kind(self, label: str, told: float, *, count: int = 6, data_centres: int = 2) -> None:
+    def add_labelled(
+        self, label: str, slowness: float, *, count: int = 6, data_centres: int = 2
+    ) -> None:
         for number in range(count):
             at = f"dc{number % data_centres}"
-            self.add(f"{label}{number}", label, f"{at}-r{number}", told=told, at=at)
+            self.add(f"{label}{number}", label, f"{at}-r{number}", slowness=slowness, at=at)
 
-    def test_it_starts_with_what_its_kind_shows(self) -> None:
-        self.add_kind("a", 1.0, count=12)
-        self.add_kind("b", 0.77)
+    def test_a_new_worker_gets_the_baseline_of_its_label(self) -> None:
+        self.add_labelled("a", 1.0, count=12)
+        self.add_labelled("b", 0.77)
         self.assertAlmostEqual(0.77, self.add("new", "b", "dc9-r9").get_slowness(self.now))
         self.assertAlmostEqual(1.0, self.add("other", "a", "dc9-r9").get_slowness(self.now))
 
-    def test_its_own_word_goes_before(self) -> None:
-        self.add_kind("a", 1.0, count=12)
-        self.add_kind("b", 0.77)
-        self.add("new", "b", told=1.5)
+    def test_a_report_replaces_the_baseline_of_a_label(self) -> None:
+        self.add_labelled("a", 1.0, count=12)
+        self.add_labelled("b", 0.77)
+        self.add("new", "b", slowness=1.5)
         self.assertAlmostEqual(1.5, self.get("new"))
 
-    def test_the_label_of_one_rack_says_nothing(self) -> None:
-        self.add_kind("a", 1.0, count=12)
-        self.add_kind("r1", 1.67, data_centres=1)
+    def test_a_label_within_one_data_centre_is_ignored(self) -> None:
+        self.add_labelled("a", 1.0, count=12)
+        self.add_labelled("r1", 1.67, data_centres=1)
         self.assertEqual(1.0, self.add("new", "r1").get_slowness(self.now))
 
-    def test_a_label_whose_workers_differ_says_nothing(self) -> None:
+    def test_a_label_whose_workers_differ_is_ignored(self) -> None:
         for number in range(12):
-            told = 1 / SPEEDS[number % 3]
-            self.add(f"w{number}", "a", told=told, at=f"dc{number % 4}")
+            slowness = 1 / SPEEDS[number % 3]
+            self.add(f"w{number}", "a", slowness=slowness, at=f"dc{number % 4}")
         self.assertIsNone(self.add("new", "a").baseline_slowness)
 
-    def test_too_few_say_nothing(self) -> None:
+    def test_a_label_with_too_few_workers_is_ignored(self) -> None:
         for number in range(3):
-            self.add(f"w{number}", "a", told=1.67 if number else 1.0, at=f"dc{number}")
+            self.add(f"w{number}", "a", slowness=1.67 if number else 1.0, at=f"dc{number}")
         self.assertIsNone(self.add("new", "a").baseline_slowness)
 
 
@@ -195,10 +199,10 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.begin()
+        self.start_owner()
 
-    def begin(self, policy: LoadPolicy | None = None) -> None:
-        """Start an owner, which meets workers that are known to their agents."""
+    def start_owner(self, policy: LoadPolicy | None = None) -> None:
+        """Start an owner whose workers have known speeds."""
         self.scheduler = make_scheduler(policy)
         for number, speed in enumerate(SPEEDS):
             self.add_worker(f"w{number}", cpu=2000)
@@ -209,39 +213,39 @@
         job = make_job("a", make_step(6, estimate_s=run_s))
         return [start.worker for start in get_starts(self.scheduler.submit(job, now=NOW))]
 
-    def test_an_owner_that_restarts_places_as_before(self) -> None:
-        short, long = self.place(), (self.begin(), self.place(1.5))[1]
-        self.begin()
+    def test_an_owner_places_tasks_as_before_after_a_restart(self) -> None:
+        short, long = self.place(), (self.start_owner(), self.place(1.5))[1]
+        self.start_owner()
         self.assertEqual(short, self.place())
-        self.begin()
+        self.start_owner()
         self.assertEqual(long, self.place(1.5))
         self.assertEqual(["w2", "w2", "w1", "w1", "w0", "w0"], short)
         self.assertEqual(["w2", "w2", "w1", "w1"], long)
 
-    def test_without_the_setting_words_change_nothing(self) -> None:
-        self.begin(LoadPolicy())
-        paces = [view.get_slowness(NOW) for view in self.scheduler.workers.values()]
-        self.assertEqual([1.0, 1.0, 1.0], paces)
+    def test_without_the_setting_reports_are_ignored(self) -> None:
+        self.start_owner(LoadPolicy())
+        slowness_values = [view.get_slowness(NOW) for view in self.scheduler.workers.values()]
+        self.assertEqual([1.0, 1.0, 1.0], slowness_values)
 
-    def test_a_life_that_comes_back_with_its_agents_restart_is_known(self) -> None:
+    def test_an_incarnation_keeps_its_baseline_when_its_agent_restarts(self) -> None:
         self.scheduler.lose_worker("w0", now=NOW)
         self.add_worker("w0")
         self.assertAlmostEqual(1 / 0.6, self.scheduler.workers["w0"].get_slowness(NOW))
-        self.add_worker("another life")
-        self.assertEqual(1.0, self.scheduler.workers["another life"].get_slowness(NOW))
+        self.add_worker("another incarnation")
+        self.assertEqual(1.0, self.scheduler.workers["another incarnation"].get_slowness(NOW))
 
-    def test_words_of_lives_that_have_gone_are_bounded(self) -> None:
+    def test_the_number_of_kept_reports_is_bounded(self) -> None:
         for number in range(2 * MAX_KEPT_REPORTS):
             self.add_worker(f"l{number}")
             self.scheduler.note_speed(f"l{number}", WorkerSpeed(slowness=1.0, runs=RUNS))
             self.scheduler.lose_worker(f"l{number}", now=NOW)
         self.assertEqual(MAX_KEPT_REPORTS, len(self.scheduler._speeds._kept_reports))
 
-    def test_words_of_unknown_workers_are_passed_over(self) -> None:
+    def test_reports_on_unknown_workers_are_ignored(self) -> None:
         self.scheduler.note_speed("nobody", WorkerSpeed(slowness=2.0, runs=9))
 
     def report_long_run(self, name: str, *, worker_pace: float) -> int:
-        """Let a run be 2.5 times as long as usual; return how many are moved."""
+        """Report a run that takes 2.5 times as long as usual; return the number of moves."""
         starts = get_starts(self.scheduler.submit(make_job("s", make_step(6)), now=NOW))
         self.add_worker("elsewhere", now=NOW)
         report = SlowRun(age_s=0.05, total_s=2.5, worker_pace=worker_pace, is_stalled=False)
@@ -251,14 +255,14 @@
         )
         return len(get_stops(actions))
 
-    def test_a_run_as_slow_as_its_workers_kind_is_not_moved(self) -> None:
+    def test_a_run_near_the_baseline_of_its_worker_is_not_moved(self) -> None:
         self.assertEqual(0, self.report_long_run("w0", worker_pace=2.5))
 
-    def test_a_run_on_a_worker_that_turned_slow_is_moved(self) -> None:
+    def test_a_run_on_a_worker_that_has_turned_slow_is_moved(self) -> None:
         self.assertEqual(1, self.report_long_run("w1", worker_pace=2.5))
 
     def test_a_long_task_on_a_sound_worker_is_not_moved(self) -> None:
-        """It would take as long again elsewhere: run times have a tail."""
+        """A long task would take as long elsewhere."""
         job = make_job("a", make_step(4))
         first, second, third, long = get_starts(self.scheduler.submit(job, now=NOW))
         for start in (first, second, third):
@@ -272,10 +276,10 @@
             self.assertEqual([], get_stops(actions))
         self.assertAlmostEqual(1.0, self.scheduler.workers[long.worker].get_slowness(NOW + 2.0))
 
-    def test_a_long_task_on_a_slow_kind_is_moved_if_it_would_be_late_there_alone(self) -> None:
-        """Its length stretches the objective by 1.6, and the worker takes 1.67 times as long."""
+    def test_a_long_task_is_moved_if_only_a_slow_baseline_makes_it_late(self) -> None:
+        """The objective grows by 1.6 times the length of the task, the run time by 1.67 times."""
         for long_s, moves in ((0.5, 0), (2.0, 1)):
-            self.begin()
+            self.start_owner()
             starts = get_starts(self.scheduler.submit(make_job("a", make_step(6)), now=NOW))
             run = next(start for start in starts if start.worker == "w0")
             for start in starts:
@@ -289,7 +293,7 @@
             self.assertEqual(moves, len(get_stops(actions)))
             self.assertFalse(self.scheduler.workers["w0"].has_turned_slow(NOW + 0.121))
 
-    def test_several_tasks_that_are_slow_tell_of_a_worker_that_turned_slow(self) -> None:
+    def test_several_slow_tasks_show_that_a_worker_has_turned_slow(self) -> None:
         full = Resources(cpu=2000, memory_mb=65536)
         for number in range(4):
             job = make_job(f"{number}", make_step(3))
@@ -305,11 +309,11 @@
                     run_s=0.5 if start.worker == "w1" else 0.1 / 1.6,
                     now=NOW,
                 )
-                room = CapacityReport(seen=start.number, free=full, is_accepting=True)
-                self.scheduler.update_worker(start.worker, room, now=NOW)
+                capacity_report = CapacityReport(seen=start.number, free=full, is_accepting=True)
+                self.scheduler.update_worker(start.worker, capacity_report, now=NOW)
         self.assertTrue(self.scheduler.workers["w1"].has_turned_slow(NOW))
 
-    def test_a_worker_of_a_slow_kind_is_not_distrusted_for_its_pace(self) -> None:
+    def test_a_pace_near_the_baseline_does_not_make_a_worker_slower(self) -> None:
         report = CapacityReport(
             seen=0, free=Resources(cpu=2000, memory_mb=999), is_accepting=True, pace=2.5
         )
@@ -321,7 +325,7 @@
 
 
 class DriftTests(testtools.TestCase):
-    """Owners learn usual run times by dividing by the words, which rest on those run times."""
+    """Run times are learned from speeds and speeds from run times; neither must drift."""
 
     RUN_S = 0.1
     WORKERS = 9
@@ -329,10 +333,10 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.begin(LoadPolicy(learns_speeds=True))
+        self.start_owners(LoadPolicy(learns_speeds=True))
 
-    def begin(self, policy: LoadPolicy) -> None:
-        """Let owners that know nothing meet the workers."""
+    def start_owners(self, policy: LoadPolicy) -> None:
+        """Add the workers to new owners that have learned nothing."""
         self.rng = random.Random(1)
         self.speeds = {f"w{number}": SPEEDS[number % 3] for number in range(self.WORKERS)}
         self.records = {name: SpeedRecord() for name in self.speeds}
@@ -341,8 +345,8 @@
         for owner in self.owners:
             for name in self.speeds:
                 owner.add_worker(make_view(name), now=0.0)
-                room = CapacityReport(seen=0, free=self.FULL, is_accepting=True)
-                owner.update_worker(name, room, now=0.0)
+                capacity_report = CapacityReport(seen=0, free=self.FULL, is_accepting=True)
+                owner.update_worker(name, capacity_report, now=0.0)
 
     def end(self, owner: Scheduler, start: StartTask, now: float) -> list[StartTask]:
         """End a run at its agent and its owner; return the starts that follow."""
@@ -352,17 +356,17 @@
         run_s = self.RUN_S * tail * spread / self.speeds[start.worker]
         record = self.records[start.worker]
         record.learn(start.job.id, run_s=run_s, expected_s=start.expected_s)
-        word = record.take_news(now=now)
-        if word is not None:
-            for hearer in self.owners:
-                hearer.note_speed(start.worker, word)
+        report = record.take_news(now=now)
+        if report is not None:
+            for receiver in self.owners:
+                receiver.note_speed(start.worker, report)
         run = (start.worker, start.job.id, start.task, start.run, EndReason.DONE)
         actions = owner.end_run(*run, run_s=run_s, now=now)
-        room = CapacityReport(seen=start.number, free=self.FULL, is_accepting=True)
-        return get_starts([*actions, *owner.update_worker(start.worker, room, now=now)])
+        capacity_report = CapacityReport(seen=start.number, free=self.FULL, is_accepting=True)
+        return get_starts([*actions, *owner.update_worker(start.worker, capacity_report, now=now)])
 
-    def play(self, turn: int) -> None:
-        """Let one owner serve as many jobs as there are workers."""
+    def run_turn(self, turn: int) -> None:
+        """Let one owner run as many jobs as there are workers."""
         owner, now = self.owners[turn % len(self.owners)], 0.2 * turn
         starts: list[StartTask] = []
         for number in range(len(self.speeds)):
@@ -373,13 +377,13 @@
             starts += self.end(owner, starts.pop(0), now)
         owner.tick(now=now + 0.1)
 
-    def test_neither_run_times_nor_words_drift_over_ten_thousand_ends(self) -> None:
+    def test_neither_run_times_nor_reports_drift_over_ten_thousand_ends(self) -> None:
         turns = 1112
         for turn in range(turns):
-            self.play(turn)
+            self.run_turn(turn)
         self.assertGreaterEqual(len(self.expected), 10_000)
-        # With the tail a task takes 1.18 times as long as most do, on the mean. Half of what is
-        # expected is by the mean ratio to declared times, which err by factors.
+        # Long tasks raise the mean run time by a factor of 1.18. Half of an estimate is the
+        # declared time, scaled by the mean ratio, which grows with the errors of declared times.
         usual_s = 1.18 * self.RUN_S * (1.0 + math.exp(DECLARED_ERROR**2)) / 2
         for part in range(5):
             mean_s = statistics.fmean(self.expected[2000 * part : 2000 * (part + 1)])
@@ -391,17 +395,17 @@
 
 
 class OneWorkerDriftTests(DriftTests):
-    """As above with one worker, of which no other tells what is usual."""
+    """With a single worker there is no median, so reports must have no effect."""
 
     WORKERS = 1
 
-    def test_neither_run_times_nor_words_drift_over_ten_thousand_ends(self) -> None:
-        with_words = self.play_all()
-        self.begin(LoadPolicy())
-        self.assertEqual(self.play_all(), with_words)
+    def test_neither_run_times_nor_reports_drift_over_ten_thousand_ends(self) -> None:
+        with_reports = self.run_all()
+        self.start_owners(LoadPolicy())
+        self.assertEqual(self.run_all(), with_reports)
 
-    def play_all(self) -> list[float]:
+    def run_all(self) -> list[float]:
         for turn in range(10_000):
-            self.play(turn)
+            self.run_turn(turn)
         self.assertGreaterEqual(len(self.expected), 10_000)
         return self.expected
