--- a/dalemast/core/scheduling/choices.py
+++ b/dalemast/core/scheduling/choices.py
@@ -25,10 +25,10 @@
 
 
 class WorkerChoice:
-    """Starts rounds of choices among the reachable workers, which the scheduler keeps up to date.
+    """Chooses among the reachable workers, in rounds. ``workers`` are the scheduler's, by id.
 
-    With ``by_slack`` the slack of each job bounds how slow its workers may be. Otherwise one bound
-    holds for all jobs of a service.
+    With ``by_slack`` the slack of each job limits how slow its workers may be. Otherwise one limit
+    applies to all jobs of a service.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._workers = workers
         self._by_slack = by_slack
 
-    def begin(self, *, now: float) -> ChoiceRound:
+    def start_round(self, *, now: float) -> ChoiceRound:
         """Return a round of choices for one event, based on the current state of the workers."""
         return ChoiceRound(
             placement=self._placement, workers=self._workers, now=now, by_slack=self._by_slack
--- a/dalemast/core/scheduling/departures.py
+++ b/dalemast/core/scheduling/departures.py
@@ -122,7 +122,7 @@
         self._forget_ended()
         if not self._at_risk:
             return []
-        choices = self._choice.begin(now=now)
+        choices = self._choice.start_round(now=now)
         reserved = self._get_reserved_capacity()
         actions: list[Action] = []
         for ref in sorted(self._at_risk, key=lambda ref: self._get_key(ref, now)):
--- a/dalemast/core/scheduling/dispatching.py
+++ b/dalemast/core/scheduling/dispatching.py
@@ -61,7 +61,7 @@
         if not waiting:
             self._capacity_requests.clear()
             return []
-        choices = self._choice.begin(now=now)
+        choices = self._choice.start_round(now=now)
         waiting.sort(key=lambda job: self._order.get_key(job, now=now))
         starts = [start for job in waiting for start in self._start_tasks(job, choices, now)]
         waiting_cpu = (task.step.resources.cpu for job in waiting for task in job.waiting)
@@ -76,7 +76,7 @@
 
     def start_last_resort(self, jobs: Iterable[Job], *, now: float) -> list[StartTask]:
         """Start jobs that would otherwise be refused on any worker where they are still useful."""
-        choices = self._choice.begin(now=now)
+        choices = self._choice.start_round(now=now)
         max_free_cpu = self._choice.get_max_free_cpu()
         urgent_first = sorted(jobs, key=lambda job: self._order.get_key(job, now=now))
         starts: list[StartTask] = []
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -110,7 +110,7 @@
             held_cpu=self._count_held_cpu(),
             waiting_jobs=sum(not job.has_begun for job in self._jobs.values()),
             retry_after_s=self._get_retry_after_s(),
-            choices=self._choice.begin(now=now),
+            choices=self._choice.start_round(now=now),
         )
         if self._forecasts is None:
             return [self._make_refusal(job, load, now) for job in jobs]
--- a/dalemast/core/scheduling/scheduler.py
+++ b/dalemast/core/scheduling/scheduler.py
@@ -74,7 +74,7 @@
 class Scheduler:
     """Keeps the jobs of one owner and places their tasks.
 
-    Methods that change its state return the actions that the caller must carry out.
+    Its decisions are returned as actions, which the caller carries out.
     """
 
     def __init__(
@@ -447,7 +447,7 @@
             if not would_be_late(job, task, report, baseline_slowness=pace, now=now):
                 return []
         if not report.is_stalled:
-            target = self._choice.begin(now=now).choose(job, task)
+            target = self._choice.start_round(now=now).choose(job, task)
             if target is None or target.name == task.worker:
                 return []
             if not is_move_beneficial(report, pace=pace, target=target, now=now):
