--- a/dalemast/core/scheduling/slow_runs.py
+++ b/dalemast/core/scheduling/slow_runs.py
@@ -9,10 +9,10 @@
     "MAX_SLOW_MOVES",
     "PACE_WEIGHT",
     "SLOW_PACE",
+    "estimate_pace",
     "estimate_slowness",
     "is_move_beneficial",
     "is_run_time_plausible",
-    "estimate_pace",
     "would_be_late",
 ]
 
