--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -270,7 +270,7 @@
         self.assertEqual([], self.end(first, EndReason.PREEMPTED, now=10.1))
 
     def test_an_infinite_objective_gives_no_restart_slack(self) -> None:
-        """An infinite slack can't be encoded in a message, so none must be sent."""
+        """JSON has no infinity, so an infinite slack would be sent as null."""
         queue = make_queue(name="endless", priority=2, stretch=inf)
         (start,) = get_starts(self.scheduler.submit(make_job("endless", queue=queue), now=10.0))
         self.assertIsNone(start.restart_slack_s)
