--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -106,11 +106,11 @@
             return []
         # What is said of the load is the same for all, and counts those that are refused too.
         load = _Load(
-            most_free=self._choice.get_most_free(),
+            most_free=self._choice.get_max_free_cpu(),
             held_cpu=self._count_held_cpu(),
             waiting_jobs=sum(not job.has_begun for job in self._jobs.values()),
             retry_after_s=self._get_retry_after_s(),
-            choices=self._choice.begin(now=now),
+            choices=self._choice.start_round(now=now),
         )
         if self._forecasts is None:
             return [self._make_refusal(job, load, now) for job in jobs]
