--- a/dalemast/core/scheduling/actions.py
+++ b/dalemast/core/scheduling/actions.py
@@ -1,4 +1,4 @@
-"""What the scheduler asks its surroundings to do, and the words it reads from agents."""
+"""Actions that the scheduler returns for its caller to carry out."""
 
 from __future__ import annotations
 
@@ -35,30 +35,30 @@
 
 
 class EndReason(enum.Enum):
-    """How one run of a task ended, or why it never began."""
+    """How one run of a task ended, or why it was not started."""
 
     DONE = "done"
     FAILED = "failed"
-    """It ran and failed, by its own fault or the worker's."""
+    """The task ran and failed, whether the task or the worker caused it."""
     STOPPED = "stopped"
-    """It was stopped on request, lapsed with its lease, or left with a worker that leaves."""
+    """It was stopped on request, its lease expired, or its worker left the fleet."""
     CRASHED = "crashed"
-    """Its worker's process ended under it without a word."""
+    """The worker process ended during the run without reporting a result."""
     NO_ROOM = "no-room"
-    """The agent did not start it: too little was free."""
+    """The agent did not start it: the worker had too little free capacity."""
     NOT_TAKEN = "not-taken"
-    """The agent did not start it: the worker leaves, fails, or did not answer."""
+    """The agent did not start it: the worker is leaving, failing, or did not answer."""
     PREEMPTED = "preempted"
-    """Its agent stopped it so that a more urgent job can begin; it has surely ended."""
+    """Its agent stopped it in favour of a more urgent job; the run is known to have ended."""
     RUN_USED = "run-used"
-    """The worker has already seen this run, so another number is needed."""
+    """The worker has already received this run number; the task needs a new one."""
 
 
 NEVER_STARTED = frozenset({EndReason.NO_ROOM, EndReason.NOT_TAKEN, EndReason.RUN_USED})
 
 
 class RefusalCause(enum.Enum):
-    """Why a job that has not run is refused."""
+    """Why a job is refused before any of its tasks has started."""
 
     OVERLOAD = "overload"
     NO_WORKERS = "no-workers"
@@ -67,11 +67,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CapacityRequest:
-    """What an owner lacks room for: the first of its waiting jobs.
+    """The capacity that an owner needs for the first of its waiting jobs.
 
-    ``rank`` is that job's key of the order, which compares across owners; the least goes first.
-    ``cpu`` is what its next task takes, in thousandths of a core. ``preempts_from`` is the lowest
-    priority whose runs may give way to it, or None if none may.
+    ``rank`` is the job's sort key; the lowest of all owners is served first. ``cpu`` is what its
+    smallest waiting task needs, in thousandths of a core. Runs whose priority number is
+    ``preempts_from`` or higher may be preempted for it; with None, no run may.
     """
 
     rank: tuple[float, ...]
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestCapacity:
-    """Tell agents what this owner wants room for, or that it wants none any more."""
+    """Send a capacity request to agents, or withdraw the last one if ``request`` is None."""
 
     workers: tuple[str, ...]
     request: CapacityRequest | None
@@ -91,8 +91,8 @@
 class StartTask:
     """Start a task on a worker. ``number`` counts the owner's starts.
 
-    ``spare_s`` is for how long from now the task could still begin anew and its job be on time;
-    None if it must not be preempted.
+    ``spare_s`` is how much later the task could be restarted, in seconds from now, with its job
+    still on time; None if it must not be preempted.
     """
 
     worker: str
@@ -116,9 +116,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunPresumedOver:
-    """Note that a run out of reach counts as ended by now, though nobody has said so.
+    """Report that an unreachable run is presumed over without a confirmation.
 
-    ``lost_s`` is for how long it was out of reach.
+    ``lost_s`` is how long it was unreachable, in seconds.
     """
 
     worker: str
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class TaskGivenUp:
-    """Note that a task is not started any more, for the workers' lives that ended under it."""
+    """Report that a task is not started again because too many workers crashed while it ran."""
 
     job: JobRequest
     task: TaskKey
@@ -139,13 +139,13 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobFinished:
-    """A job has ended.
+    """Report that a job has ended.
 
-    ``waited_s`` is the time until its first task was started, ``spread_s`` that from there until
-    its last one was, ``objective_s`` that within which its answer is on time, by its true run times
-    if it ended well; ``refused_starts`` counts starts that agents did not take, mostly since
-    another owner was quicker to use the room. ``preemptions`` counts runs that gave way to more
-    urgent jobs.
+    ``waited_s`` is the time from its arrival to its first start, ``spread_s`` the time from its
+    first start to its last, ``objective_s`` the time within which its answer is on time, computed
+    from the actual run times if the job succeeded. ``refused_starts`` counts starts that agents
+    rejected, mostly because another owner had taken the capacity first. ``preemptions`` counts
+    runs that were preempted by more urgent jobs.
     """
 
     job: JobRequest
@@ -162,13 +162,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobRefused:
-    """A job of which no task was ever started is given up. ``retry_after_s`` is in seconds.
-
-    ``workers`` of its service were in reach. ``needed_cpu`` is what its largest waiting task takes
-    and ``free_cpu`` the most that was free on one accepting worker, or -1 without any; both count
-    thousandths of a core. ``view_age_s`` is the age of the oldest word on one of the workers.
-    ``left_out`` tells which rule left each of them out for the first of its waiting tasks.
-    ``forecast`` is what was expected of it, if forecasts are asked for and one could be made.
+    """Report that a job is refused before any of its tasks has started.
+
+    ``retry_after_s`` is when its caller should retry, in seconds. ``workers`` is how many workers
+    of its service were reachable. ``needed_cpu`` is what its largest waiting task needs and
+    ``free_cpu`` the most that was free on one accepting worker, or -1 if there was none, both in
+    thousandths of a core. ``view_age_s`` is the age of the oldest worker report in use.
+    ``left_out`` counts, by rule, the workers that were excluded for its first waiting task.
+    ``forecast`` is the forecast of its start, if forecasts are enabled and one could be made.
     """
 
     job: JobRequest
@@ -186,10 +187,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RunMoved:
-    """Note that a run is stopped so that its task can run elsewhere, and for which cause.
+    """Report that a run is stopped so that its task can run on another worker.
 
-    ``age_s`` is how long it ran, ``left_s`` what was left of it and ``leaves_in_s`` the least time
-    that its worker has left, in seconds; ``cpu`` is thousandths of a core.
+    ``cause`` is why it is moved. ``age_s`` is how long it had run, ``left_s`` its expected
+    remaining run time and ``leaves_in_s`` the minimum time until its worker leaves, in seconds.
+    ``cpu`` is in thousandths of a core.
     """
 
     worker: str
--- a/dalemast/core/scheduling/capacity_releases.py
+++ b/dalemast/core/scheduling/capacity_releases.py
@@ -1,7 +1,7 @@
-"""Room that comes free on a worker, as an owner believes an agent's word on it while it ages.
+"""Validation and ageing of an agent's report on expected capacity releases.
 
-It answers long tasks that hold the room: without it a worker that frees room in 50 ms looks like
-one that frees none for seconds.
+With them an owner can tell a worker that will soon have capacity from one that is occupied by long
+tasks.
 """
 
 from __future__ import annotations
@@ -13,30 +13,30 @@
 __all__ = ["MAX_STEPS", "OVERDUE_GRACE_S", "age_releases", "are_releases_valid"]
 
 MAX_STEPS = 4
-"""Steps of one word: the first few ends decide whether a job can begin in time."""
+"""Maximum number of releases in a report; the first few decide whether a job can start in time."""
 OVERDUE_GRACE_S = 0.5
-"""How long after its time a step is still believed. Run times err by factors, but an end is told of
-within a report's pause, and a job that could wait for longer has other workers to look at."""
+"""How long a release that has not happened at its expected time is still expected, in seconds."""
 
 
 def are_releases_valid(rows: tuple[CapacityRelease, ...]) -> bool:
-    """Tell whether an agent's word can be true: few steps that free something, soonest first."""
+    """Return whether a report is short enough, ordered by time, and each release is positive."""
     if len(rows) > MAX_STEPS:
         return False
-    sooner_s = 0.0
+    previous_s = 0.0
     for row in rows:
-        if not math.isfinite(row.in_s) or row.in_s < sooner_s or row.cpu <= 0:
+        if not math.isfinite(row.in_s) or row.in_s < previous_s or row.cpu <= 0:
             return False
-        sooner_s = row.in_s
+        previous_s = row.in_s
     return True
 
 
 def age_releases(
     rows: tuple[CapacityRelease, ...], *, age_s: float, max_cpu: int
 ) -> tuple[CapacityRelease, ...]:
-    """Return the steps that are left of a word of this age, ``max_cpu`` in all at the most.
+    """Return the releases still expected from a report of this age, at most ``max_cpu`` in total.
 
-    A step whose time is over is due now; it is free only once the agent says so.
+    An overdue release is expected at once; its capacity counts as free only when the agent has
+    reported it.
     """
     left_cpu = max_cpu
     aged = []
--- a/dalemast/core/scheduling/demand.py
+++ b/dalemast/core/scheduling/demand.py
@@ -1,11 +1,10 @@
-"""What waits at all entries: this entry's own jobs, and the others' words with their ages.
+"""The queued work of all entries: a summary of this entry's jobs, and the reports of its peers.
 
-It answers callers who compete for too little room at many entries: one that knows its own jobs
-alone takes room that more urgent jobs wait for elsewhere, and expects to begin what others will
-begin before it.
+An entry that knows only its own jobs would take capacity that more urgent jobs are waiting for at
+other entries, and would forecast starts that are too early.
 
-A word is hearsay and never the whole truth. It is used while it is renewed, fades when it is not,
-and goes with the link that it came by. One that can't be true is not used at all.
+A report counts in full while it is renewed, then with a decreasing weight until it expires. It is
+dropped when its entry becomes unreachable. Implausible reports are rejected.
 """
 
 from __future__ import annotations
@@ -31,28 +30,27 @@
 ]
 
 MIN_RENEWAL_INTERVAL_S = 0.2
-"""Pause between renewals of a word until :meth:`DemandTracker.set_renewal_interval` says more."""
+"""Minimum interval between renewals of a report, and the default one."""
 FULL_WEIGHT_INTERVALS = 1.5
-"""Pauses between renewals for which a word counts in full: one of them may be late by a half."""
+"""Age, in renewal intervals, up to which a report counts in full. More than 1, so that a renewal
+may be late."""
 LIFETIME_INTERVALS = 3.0
-"""Pauses after which a word that was not renewed is dropped. An entry that falls silent is given up
-after 2.5 of them, and its word goes with its link; this is for a word that goes stale on a link
-that works."""
+"""Age, in renewal intervals, at which a report expires. Guards against reports that are no longer
+renewed while the link still works; those of a lost link are dropped with the link."""
 MAX_ROWS = 32
-"""Rows of one word, each a service and a priority; deployments have a few."""
+"""Maximum number of rows in a report, each for one service and priority."""
 MAX_ENTRIES = 256
-"""Entries whose words are kept; several times as many as the target's size needs."""
+"""Maximum number of entries whose reports are kept."""
 MAX_NAME_LENGTH = 255
-"""Characters of the name of a service or a data centre."""
-MOST_JOBS = 1_000_000
-MOST_CORE_S = 1_000_000.0
-"""Core-seconds of a row: the work of 7,700 workers of 16 cores in 8 s. More than that does not wait
-at one entry and can still be on time."""
+"""Maximum length of the name of a service or a data centre, in characters."""
+MAX_JOBS = 1_000_000
+MAX_CORE_S = 1_000_000.0
+"""Maximum work of a row, in core-seconds: more than can wait at one entry and still be on time."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PeerDemand:
-    """What another entry has told, and how long ago in seconds."""
+    """The last report of another entry, and its age in seconds."""
 
     entry: str
     age_s: float
@@ -60,89 +58,95 @@
 
 
 class DemandTracker:
-    """What waits at the other entries, by incarnation. Times are the steady clock, in seconds."""
+    """The reported queued work of other entries, by incarnation.
+
+    Times are in seconds, on the monotonic clock.
+    """
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[float, tuple[QueuedDemand, ...]]] = {}
-        self._pause_s = MIN_RENEWAL_INTERVAL_S
+        self._reports: dict[str, tuple[float, tuple[QueuedDemand, ...]]] = {}
+        self._renewal_interval_s = MIN_RENEWAL_INTERVAL_S
 
     def __len__(self) -> int:
-        return len(self._told)
+        return len(self._reports)
 
-    def set_renewal_interval(self, pause_s: float) -> None:
-        """Set the pause after which entries renew their words; it grows with their number."""
-        self._pause_s = max(pause_s, MIN_RENEWAL_INTERVAL_S)
+    def set_renewal_interval(self, interval_s: float) -> None:
+        """Set the interval at which entries renew their reports; it grows with their number."""
+        self._renewal_interval_s = max(interval_s, MIN_RENEWAL_INTERVAL_S)
 
-    def record(self, entry: str, words: tuple[QueuedDemand, ...], now: float) -> bool:
-        """Take in all that waits at an entry; return False if it can't be true and is not used."""
-        self._told.pop(entry, None)
-        if not _is_plausible(words):
+    def record(self, entry: str, demand: tuple[QueuedDemand, ...], now: float) -> bool:
+        """Replace the report of an entry; return False if the new one is rejected."""
+        self._reports.pop(entry, None)
+        if not _is_plausible(demand):
             return False
-        if len(self._told) >= MAX_ENTRIES:
+        if len(self._reports) >= MAX_ENTRIES:
             self.sweep(now)
-        if words and len(self._told) < MAX_ENTRIES:
-            self._told[entry] = (now, words)
+        if demand and len(self._reports) < MAX_ENTRIES:
+            self._reports[entry] = (now, demand)
         return True
 
     def forget(self, entry: str) -> None:
-        """Note that an entry is out of reach: what waits there may have been answered."""
-        self._told.pop(entry, None)
+        """Drop the report of an entry that has become unreachable."""
+        self._reports.pop(entry, None)
 
     def sweep(self, now: float) -> list[str]:
-        """Drop the words that have faded, and return whose they were."""
-        faded = [
-            entry for entry, (told_at, _) in self._told.items() if not self._weigh(told_at, now)
+        """Drop expired reports, and return the entries that sent them."""
+        expired = [
+            entry
+            for entry, (received_at, _) in self._reports.items()
+            if not self._weigh(received_at, now)
         ]
-        for entry in faded:
-            del self._told[entry]
-        return faded
+        for entry in expired:
+            del self._reports[entry]
+        return expired
 
     def get_core_s_ahead(self, service: str, priority: int, now: float) -> float:
-        """Return the core-seconds that wait elsewhere for a service and are at least as urgent."""
+        """Return the core-seconds queued at other entries that are at least as urgent."""
         return sum(
-            weight * word.core_s
-            for weight, word in self._weigh_words(service, now)
-            if word.priority <= priority
+            weight * row.core_s
+            for weight, row in self._weigh_rows(service, now)
+            if row.priority <= priority
         )
 
     def get_core_s_ahead_by_data_centre(
         self, service: str, priority: int, now: float
     ) -> dict[str, float]:
-        """Return what :meth:`get_ahead` does, by the data centre where it waits."""
+        """Return the result of :meth:`get_core_s_ahead`, by data centre of the entries."""
         waiting: dict[str, float] = {}
-        for weight, word in self._weigh_words(service, now):
-            if word.priority <= priority:
-                core_s = waiting.get(word.data_centre, 0.0) + weight * word.core_s
-                waiting[word.data_centre] = core_s
+        for weight, row in self._weigh_rows(service, now):
+            if row.priority <= priority:
+                core_s = waiting.get(row.data_centre, 0.0) + weight * row.core_s
+                waiting[row.data_centre] = core_s
         return waiting
 
     def list_peer_demand(self, now: float) -> list[PeerDemand]:
-        """Return what each entry has told."""
+        """Return the reports of all entries."""
         return [
-            PeerDemand(entry=entry, age_s=now - told_at, demand=words)
-            for entry, (told_at, words) in self._told.items()
+            PeerDemand(entry=entry, age_s=now - received_at, demand=demand)
+            for entry, (received_at, demand) in self._reports.items()
         ]
 
-    def _weigh_words(self, service: str, now: float) -> Iterable[tuple[float, QueuedDemand]]:
-        """Return the words on a service, each with the share that still counts."""
-        for told_at, words in self._told.values():
-            weight = self._weigh(told_at, now)
+    def _weigh_rows(self, service: str, now: float) -> Iterable[tuple[float, QueuedDemand]]:
+        """Yield the rows on a service, each with the weight of its report."""
+        for received_at, demand in self._reports.values():
+            weight = self._weigh(received_at, now)
             if weight:
-                yield from ((weight, word) for word in words if word.service == service)
+                yield from ((weight, row) for row in demand if row.service == service)
 
-    def _weigh(self, told_at: float, now: float) -> float:
-        """Return the share of a word that counts at its age, from 1 down to 0."""
-        pauses = (now - told_at) / self._pause_s
-        left = (LIFETIME_INTERVALS - pauses) / (LIFETIME_INTERVALS - FULL_WEIGHT_INTERVALS)
-        return min(max(left, 0.0), 1.0)
+    def _weigh(self, received_at: float, now: float) -> float:
+        """Return the weight of a report at its age, from 1 down to 0."""
+        intervals = (now - received_at) / self._renewal_interval_s
+        weight = (LIFETIME_INTERVALS - intervals) / (LIFETIME_INTERVALS - FULL_WEIGHT_INTERVALS)
+        return min(max(weight, 0.0), 1.0)
 
 
 def summarize_waiting(
     jobs: Iterable[Job], run_times: RunTimes, *, now: float
 ) -> tuple[QueuedDemand, ...]:
-    """Return what waits here, the most urgent first; the data centre is left to who hears it.
+    """Return the queued work of this entry, the most urgent first.
 
-    Only jobs that can still be on time count: nobody should wait for the others.
+    Jobs that can no longer be on time are left out, so that no other job waits for them. The data
+    centre is empty: the receiver fills it in.
     """
     totals: dict[tuple[int, str], tuple[int, float]] = {}
     for job in jobs:
@@ -157,18 +161,18 @@
             service=service,
             priority=priority,
             data_centre="",
-            jobs=min(count, MOST_JOBS),
-            core_s=min(core_s, MOST_CORE_S),
+            jobs=min(count, MAX_JOBS),
+            core_s=min(core_s, MAX_CORE_S),
         )
         for (priority, service), (count, core_s) in sorted(totals.items())[:MAX_ROWS]
     )
 
 
 def _expect_core_s(request: JobRequest, run_times: RunTimes) -> float:
-    """Return what a job's tasks are expected to take, in core-seconds.
+    """Return the expected work of a job's tasks, in core-seconds.
 
-    Callers may declare anything. A job whose work is no number, or more than can be true of a whole
-    entry, counts for nothing, so that the word on the others is still believed.
+    Callers may declare any run time. A job whose work is NaN or beyond the maximum of a row counts
+    as 0, so that peers don't reject the whole report.
     """
     name = request.queue.name
     core_s = sum(
@@ -178,21 +182,21 @@
         * run_times.expect(queue=name, declared_s=step.estimate_s)
         for step in request.steps
     )
-    return core_s if 0.0 <= core_s <= MOST_CORE_S else 0.0
+    return core_s if 0.0 <= core_s <= MAX_CORE_S else 0.0
 
 
-def _is_plausible(words: tuple[QueuedDemand, ...]) -> bool:
-    """Tell whether a word can be true as a whole."""
-    rows = {(word.service, word.priority) for word in words[: MAX_ROWS + 1]}
-    if len(words) > MAX_ROWS or len(rows) < len(words):
+def _is_plausible(demand: tuple[QueuedDemand, ...]) -> bool:
+    """Return whether a report is short enough, without duplicates and valid in all its rows."""
+    keys = {(row.service, row.priority) for row in demand[: MAX_ROWS + 1]}
+    if len(demand) > MAX_ROWS or len(keys) < len(demand):
         return False
-    return all(_is_sound(word) for word in words)
+    return all(_is_valid(row) for row in demand)
 
 
-def _is_sound(word: QueuedDemand) -> bool:
-    """Tell whether a row is within its bounds; what is no number is not."""
-    if not 0 < len(word.service) <= MAX_NAME_LENGTH or len(word.data_centre) > MAX_NAME_LENGTH:
+def _is_valid(row: QueuedDemand) -> bool:
+    """Return whether all values of a row are within their bounds; NaN is not."""
+    if not 0 < len(row.service) <= MAX_NAME_LENGTH or len(row.data_centre) > MAX_NAME_LENGTH:
         return False
-    if not math.isfinite(word.core_s) or not 0.0 <= word.core_s <= MOST_CORE_S:
+    if not math.isfinite(row.core_s) or not 0.0 <= row.core_s <= MAX_CORE_S:
         return False
-    return word.priority >= 0 and 0 <= word.jobs <= MOST_JOBS
+    return row.priority >= 0 and 0 <= row.jobs <= MAX_JOBS
--- a/dalemast/core/scheduling/demand_reports.py
+++ b/dalemast/core/scheduling/demand_reports.py
@@ -1,8 +1,8 @@
-"""When an entry tells another what waits.
+"""When an entry reports its queued work to another entry.
 
-It answers load that changes with each job at many entries at once: told at each change, words would
-grow with the entries' square and with the load. Here an entry sends a bounded number a second to
-all others together, and none in calm times, when nothing waits.
+Reporting each change would cost messages in proportion to the load and to the square of the number
+of entries. Instead the total rate of an entry's reports is limited, and nothing is sent while
+nothing is queued.
 """
 
 from __future__ import annotations
@@ -12,51 +12,52 @@
 __all__ = ["REPORTS_PER_S", "DemandSubscriber", "get_report_interval_s"]
 
 REPORTS_PER_S = 80
-"""Words of news that an entry sends in a second, to all others together: twice its beats, at some
-0.04 ms a message at both ends 0.3 % of a core."""
+"""Maximum rate of reports on changes that an entry sends, to all others together."""
 MIN_REPORT_INTERVAL_S = 0.05
-"""Shortest pause between words of news to one entry. Jobs wait from some 50 ms on for their room,
-and what comes and goes in less need not be known elsewhere."""
+"""Minimum interval between reports on changes to one entry; shorter waits need not be reported."""
 CHANGE_SHARE = 0.25
-"""Share by which what waits has to change to be news; what is less goes with the next renewal."""
+"""Relative change of the queued work that is reported before the next renewal is due."""
 
 
 def get_report_interval_s(others: int) -> float:
-    """Return the shortest pause between words of news to one of so many entries, in seconds."""
+    """Return the minimum interval between reports on changes, in seconds.
+
+    ``others`` is the number of entries that receive them.
+    """
     return max(MIN_REPORT_INTERVAL_S, others / REPORTS_PER_S)
 
 
 class DemandSubscriber:
-    """One entry that hears what waits here, on one link. Times are seconds."""
+    """An entry that receives reports of queued work on one link. Times are in seconds."""
 
     def __init__(self) -> None:
-        self._told: tuple[QueuedDemand, ...] = ()
-        self._told_at = float("-inf")
+        self._sent: tuple[QueuedDemand, ...] = ()
+        self._sent_at = float("-inf")
 
     def is_due(
         self,
-        words: tuple[QueuedDemand, ...],
+        demand: tuple[QueuedDemand, ...],
         *,
         now: float,
         report_interval_s: float,
         renewal_interval_s: float,
     ) -> bool:
-        """Tell whether this entry should hear now what waits."""
-        if not words and not self._told:
+        """Return whether a report should be sent now."""
+        if not demand and not self._sent:
             return False
-        if now - self._told_at >= renewal_interval_s:
+        if now - self._sent_at >= renewal_interval_s:
             return True
-        return now - self._told_at >= report_interval_s and _is_news(words, self._told)
+        return now - self._sent_at >= report_interval_s and _has_changed(demand, self._sent)
 
-    def record_sent(self, words: tuple[QueuedDemand, ...], *, now: float) -> None:
-        """Note that the entry is told this."""
-        self._told = words
-        self._told_at = now
+    def record_sent(self, demand: tuple[QueuedDemand, ...], *, now: float) -> None:
+        """Record the report that is being sent."""
+        self._sent = demand
+        self._sent_at = now
 
 
-def _is_news(words: tuple[QueuedDemand, ...], told: tuple[QueuedDemand, ...]) -> bool:
-    """Tell whether a row has come or gone, or changed by much."""
-    before, after = _get_rows(told), _get_rows(words)
+def _has_changed(demand: tuple[QueuedDemand, ...], sent: tuple[QueuedDemand, ...]) -> bool:
+    """Return whether a row was added or removed, or its work changed considerably."""
+    before, after = _get_core_s(sent), _get_core_s(demand)
     if before.keys() != after.keys():
         return True
     return any(
@@ -65,6 +66,5 @@
     )
 
 
-def _get_rows(words: tuple[QueuedDemand, ...]) -> dict[tuple[str, int], float]:
-    """Return the core-seconds by service and priority."""
-    return {(word.service, word.priority): word.core_s for word in words}
+def _get_core_s(demand: tuple[QueuedDemand, ...]) -> dict[tuple[str, int], float]:
+    return {(row.service, row.priority): row.core_s for row in demand}
--- a/dalemast/core/scheduling/load.py
+++ b/dalemast/core/scheduling/load.py
@@ -1,4 +1,4 @@
-"""What is told of load beyond a worker's free room, and which decisions a deployment asks for."""
+"""Load reports beyond the free capacity of a worker, and the load policy of a deployment."""
 
 from __future__ import annotations
 
@@ -16,20 +16,26 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LoadPolicy:
-    """The decisions under load that a deployment asks for; each is off unless it is asked for."""
+    """Optional scheduling features of a deployment, all disabled by default."""
 
     shares_demand: bool = False
-    """Entries tell one another what waits, and agents when room comes free."""
+    """Entries exchange reports of their queued work; agents report expected capacity releases."""
     forecasts: bool = False
-    """A job that can't begin in time is refused as it arrives, and one with room is not refused."""
+    """A job that is forecast to start too late is refused on arrival.
+
+    A job that is due for refusal is started instead if a worker has capacity for it.
+    """
     preempts: bool = False
-    """More urgent jobs take room from less urgent ones that have begun."""
+    """More urgent jobs may stop runs of less urgent ones to get their capacity."""
     learns_speeds: bool = False
-    """Agents keep how fast their worker is, and slow ones serve the jobs whose slack allows it."""
+    """Agents measure the speed of their worker; slow workers get jobs that have enough slack."""
     balances: bool = False
-    """Whole jobs go to the data centre where they begin soonest, and wanted racks keep room."""
+    """Each job is placed in one data centre, the one where it is expected to end first.
+
+    Racks whose data is in demand keep capacity for the tasks that need it.
+    """
     plans_departures: bool = False
-    """What a leaving worker can't end is moved before it is lost."""
+    """Runs that a leaving worker can't finish are moved to other workers in time."""
 
 
 DEFAULT_LOAD_POLICY = LoadPolicy()
@@ -37,9 +43,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CapacityRelease:
-    """Room that is expected to come free on a worker in so many seconds, in one step.
+    """Capacity that a worker is expected to release at once, ``in_s`` seconds after the report.
 
-    ``cpu`` is thousandths of a core, and does not count what earlier steps free.
+    ``cpu`` is in thousandths of a core and excludes what earlier releases free.
     """
 
     in_s: float
@@ -48,9 +54,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerSpeed:
-    """An agent's word on its worker's run times over the usual ones: 2 takes twice as long.
+    """The measured speed of a worker.
 
-    ``runs`` is how many ended runs it rests on.
+    ``slowness`` is the ratio of its run times to the expected ones: at 2, tasks take twice as
+    long. ``runs`` is the number of ended runs that it is based on.
     """
 
     slowness: float
@@ -59,10 +66,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DepartureRisk:
-    """An agent's word on a run that its worker is expected to leave before it ends.
+    """An agent's report of a run that its worker is not expected to finish before it leaves.
 
-    ``left_s`` is the rest of the run at its pace, ``leaves_in_s`` the least time that the worker
-    has left, both in seconds.
+    ``left_s`` is the expected remaining run time and ``leaves_in_s`` the minimum time until the
+    worker leaves, both in seconds.
     """
 
     left_s: float
@@ -71,10 +78,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class QueuedDemand:
-    """What one entry has waiting for a service, at one priority.
+    """The queued work of one entry for a service, at one priority.
 
-    ``jobs`` have not begun and can still be on time; ``core_s`` is what all their tasks take, in
-    core-seconds. ``data_centre`` is the entry's own.
+    ``jobs`` is the number of jobs that have not started and can still be on time, ``core_s`` the
+    expected work of all their tasks, in core-seconds. ``data_centre`` is that of the entry.
     """
 
     service: str
