--- a/dalemast/core/scheduling/capacity.py
+++ b/dalemast/core/scheduling/capacity.py
@@ -1,8 +1,8 @@
-"""When room comes free on workers, by what is told and what this owner began there itself.
+"""When capacity will be released on workers, from agents' reports and this owner's own runs.
 
-It answers long tasks that hold the room while urgent jobs arrive: whether they free it in time.
-Agents tell it to some owners only. What nobody has told of, or long ago, is taken to come free as
-the rest does, as long as enough is known of it; and on one worker it may come free at any moment.
+It shows whether long tasks will release their capacity in time for urgent jobs. Agents report
+releases to some owners only. Capacity in use without a recent report is assumed to be released at
+the same rate as the rest; on a single worker it may be released at any moment.
 """
 
 from __future__ import annotations
@@ -24,23 +24,23 @@
     "get_worker_availability",
 ]
 
-MOST_RUNS = 64
-"""Runs one after the other for which begins are looked for; beyond them the mean rate tells."""
+MAX_RUNS = 64
+"""Number of consecutive runs for which start times are computed; later ones use the mean rate."""
 PRECISION = 0.02
-"""Share by which a begin may be off: far less than run times are."""
-TINY_S = 0.001
-"""Times below this are none."""
-LONGEST_RUN_S = 3600.0
-"""Beyond this a run ends too late for whatever waits."""
+"""Relative precision of a computed start time."""
+MIN_TIME_S = 0.001
+"""Times below this count as zero."""
+MAX_RUN_S = 3600.0
+"""A longer run ends too late for any waiting task."""
 
 
 def bound_run_s(run_s: float) -> float:
-    """Return a run time that can be reckoned with: callers may declare anything."""
-    return min(max(TINY_S, run_s), LONGEST_RUN_S)
+    """Return a run time within bounds: callers may declare any value, NaN included."""
+    return min(max(MIN_TIME_S, run_s), MAX_RUN_S)
 
 
 class OwnRun(NamedTuple):
-    """A run of this owner: thousandths of a core, when it was placed, seconds to its end."""
+    """A run of this owner: thousandths of a core, time of placement, expected seconds left."""
 
     cpu: int
     placed_at: float
@@ -48,7 +48,7 @@
 
 
 class CapacityStep(NamedTuple):
-    """Room that comes free on one worker, evenly between two times, in seconds from now."""
+    """Capacity that one worker releases at some time between two, in seconds from now."""
 
     first_s: float
     last_s: float
@@ -56,9 +56,9 @@
 
 
 class WorkerAvailability(NamedTuple):
-    """What is free on a worker, in thousandths of a core, and what comes free, soonest first.
+    """The free capacity of a worker and its expected releases, the first one first.
 
-    ``unknown`` is in use, and nobody knows for how long.
+    ``unknown`` is capacity in use without a known end. All are in thousandths of a core.
     """
 
     free: int
@@ -67,33 +67,34 @@
 
 
 def get_worker_availability(
-    view: WorkerView, runs: Iterable[OwnRun], *, fresh_s: float, now: float
+    view: WorkerView, runs: Iterable[OwnRun], *, max_age_s: float, now: float
 ) -> WorkerAvailability:
-    """Return the room of a worker.
+    """Return the availability of a worker.
 
-    ``runs`` are this owner's there. A word older than ``fresh_s`` is not believed.
+    ``runs`` are this owner's runs on it. A report older than ``max_age_s`` is ignored.
     """
     free = max(view.free.cpu, 0)
     left = max(view.capacity.cpu - free, 0)
     age_s = now - view.coming_told_at
-    told_at = -math.inf
+    reported_at = -math.inf
     steps: list[CapacityStep] = []
-    if view.coming and 0.0 <= age_s <= fresh_s:
-        told_at = view.coming_told_at
+    if view.coming and 0.0 <= age_s <= max_age_s:
+        reported_at = view.coming_told_at
         before_s = math.inf
         for row in view.coming:
             last_s = row.in_s - age_s
             if not 0.0 <= last_s < math.inf:
-                # It may have come free since, and been taken by another owner.
+                # It may have been released since, and taken by another owner.
                 continue
             cpu = min(max(row.cpu, 0), left)
-            # The first step is the next end; each other one may be several, told by the last.
+            # The first step is a single end; each later one may combine several, reported at the
+            # time of the last.
             steps.append(CapacityStep(min(before_s, last_s), last_s, cpu))
             before_s = last_s
             left -= cpu
     for run in runs:
-        # The agent's word tells of all that was begun before it.
-        if run.placed_at > told_at:
+        # Runs placed before the report are included in it.
+        if run.placed_at > reported_at:
             cpu = min(run.cpu, left)
             steps.append(CapacityStep(run.left_s, run.left_s, cpu))
             left -= cpu
@@ -101,23 +102,24 @@
 
 
 class CapacityTimeline:
-    """The room of several workers as it comes free; when work gets it at the soonest.
+    """The expected capacity releases of several workers, and the earliest starts they allow.
 
-    What is free already is too little for what waits: it counts on its own worker alone.
+    Capacity that is already free counts on its own worker only, since it was too little for the
+    waiting tasks.
     """
 
-    def __init__(self, rooms: Iterable[WorkerAvailability]) -> None:
-        self._rooms = list(rooms)
-        self._single: dict[int, float] = {}
-        known = sum(step.cpu for room in self._rooms for step in room.steps)
-        unknown = sum(room.unknown for room in self._rooms)
+    def __init__(self, workers: Iterable[WorkerAvailability]) -> None:
+        self._workers = list(workers)
+        self._single_worker_starts: dict[int, float] = {}
+        known = sum(step.cpu for worker in self._workers for step in worker.steps)
+        unknown = sum(worker.unknown for worker in self._workers)
         self._cores = (known + unknown) / 1000
         self._known_share = known / (known + unknown) if known else 0.0
-        # What is unknown comes free as the rest.
+        # Unknown capacity is assumed to be released like the rest.
         scale = 1000 * self._known_share
         events: list[tuple[float, float]] = []
-        for room in self._rooms:
-            for step in room.steps:
+        for worker in self._workers:
+            for step in worker.steps:
                 events.append(((step.first_s + step.last_s) / 2, step.cpu / scale))
         events.sort()
         self._times = [at_s for at_s, _ in events]
@@ -125,58 +127,60 @@
 
     @property
     def cores(self) -> float:
-        """All the room that comes free, in cores."""
+        """The capacity that will be released, in cores."""
         return self._cores
 
     @property
     def known_share(self) -> float:
-        """The share of the room in use of which it is known when it comes free."""
+        """The share of the capacity in use whose release time is known."""
         return self._known_share
 
     def get_single_worker_start_s(self, cpu: int) -> float:
-        """Return when one worker has so much room at the soonest; infinity if none ever has."""
-        found = self._single.get(cpu)
-        if found is None:
-            found = min((_find_first(room, cpu) for room in self._rooms), default=math.inf)
-            self._single[cpu] = found
-        return found
+        """Return the earliest time at which one worker has ``cpu`` free, or infinity."""
+        start_s = self._single_worker_starts.get(cpu)
+        if start_s is None:
+            start_s = min(
+                (_get_worker_start_s(worker, cpu) for worker in self._workers), default=math.inf
+            )
+            self._single_worker_starts[cpu] = start_s
+        return start_s
 
     def get_pooled_start_s(self, cores: float, *, run_s: float) -> float:
-        """Return when tasks that take so many cores in all have begun at the soonest.
+        """Return the earliest time by which tasks of ``cores`` in total can have started.
 
-        ``run_s`` is how long each of them runs, and then leaves its room to another one.
+        Each of them runs for ``run_s`` and then leaves its capacity to the next one.
         """
         if not self._times:
             return math.inf
         run_s = bound_run_s(run_s)
         low_s, high_s = 0.0, run_s
-        while self._count_begun(high_s, run_s) < cores:
+        while self._count_started(high_s, run_s) < cores:
             low_s, high_s = high_s, 2.0 * high_s
-            if high_s > MOST_RUNS * run_s:
+            if high_s > MAX_RUNS * run_s:
                 return max(low_s, cores * run_s / self._freed[-1])
-        while high_s - low_s > PRECISION * high_s + TINY_S:
+        while high_s - low_s > PRECISION * high_s + MIN_TIME_S:
             middle_s = (low_s + high_s) / 2
-            if self._count_begun(middle_s, run_s) < cores:
+            if self._count_started(middle_s, run_s) < cores:
                 low_s = middle_s
             else:
                 high_s = middle_s
         return high_s
 
-    def _count_begun(self, at_s: float, run_s: float) -> float:
-        """Return how many cores of tasks can have begun until a time."""
-        begun = 0.0
+    def _count_started(self, at_s: float, run_s: float) -> float:
+        """Return how many cores of tasks can have started by a time."""
+        started = 0.0
         while at_s >= 0.0:
-            begun += self._freed[bisect.bisect_right(self._times, at_s)]
+            started += self._freed[bisect.bisect_right(self._times, at_s)]
             at_s -= run_s
-        return begun
+        return started
 
 
-def _find_first(room: WorkerAvailability, cpu: int) -> float:
-    """Return when a worker may have so much room at the soonest."""
-    free = room.free + room.unknown
+def _get_worker_start_s(worker: WorkerAvailability, cpu: int) -> float:
+    """Return the earliest time at which a worker may have ``cpu`` free."""
+    free = worker.free + worker.unknown
     if free >= cpu:
         return 0.0
-    for step in room.steps:
+    for step in worker.steps:
         free += step.cpu
         if free >= cpu:
             return step.first_s
--- a/dalemast/core/scheduling/capacity_requests.py
+++ b/dalemast/core/scheduling/capacity_requests.py
@@ -1,10 +1,8 @@
-"""What an owner asks agents for while it has no room: so that urgent work of all owners goes first.
+"""Requests for capacity, so that agents serve the most urgent work of all owners first.
 
-Without it the owner whose run has ended uses the room again before others hear of it. Each owner
-then keeps its share of the workers whatever it has waiting: one with less urgent work goes before
-another with more, and one that has lost its share, as with the workers of its own data centre, does
-not get it back. By simulation of four owners, eleven workers and 0.98 of their capacity asked for,
-0.88 of the worth was earned with it, 0.85 without, and 0.90 by one owner alone.
+Without them the owner of an ended run would reuse the capacity before other owners know that it is
+free. Each owner would then keep its share of the workers however urgent its work is, and an owner
+that has lost its share, for example with a data centre, would not get it back.
 """
 
 from __future__ import annotations
@@ -20,28 +18,27 @@
 
 __all__ = ["CapacityRequests"]
 
-MOST_ASKED = 12
-"""Workers that are asked at once. Each question is a message; a dozen workers of ten tasks each
-free enough room for a job of the usual width within a task's run time."""
+MAX_WORKERS_ASKED = 12
+"""Maximum number of workers that receive one request, since each of them costs a message."""
 
 
 class CapacityRequests:
-    """What this owner wants of each service's workers, and which agents believe so."""
+    """The capacity requests of this owner by service, and the workers that may hold one."""
 
     def __init__(self, *, order: BaseOrder) -> None:
         self._order = order
-        self._wants: dict[str, CapacityRequest] = {}
+        self._requests: dict[str, CapacityRequest] = {}
         self._asked: set[str] = set()
-        """Workers whose agents may believe that this owner wants room."""
-        self._turn = 0
+        """Workers whose agents may hold a request of this owner."""
+        self._offset = 0
 
     def get(self, service: str) -> CapacityRequest | None:
-        """Return what is wanted of a service's workers; it goes along with each start."""
-        return self._wants.get(service)
+        """Return the request for a service, which is also sent with each start."""
+        return self._requests.get(service)
 
     def clear(self) -> None:
-        """Note that nothing waits. Agents learn of it when they next offer room."""
-        self._wants.clear()
+        """Drop all requests. Agents are informed when they next offer capacity."""
+        self._requests.clear()
 
     def update(
         self,
@@ -51,26 +48,27 @@
         started: Collection[str],
         now: float,
     ) -> list[Action]:
-        """Take in the first job that waits for each service; ask for its room if that is news.
+        """Request capacity for the first waiting job of each service.
 
-        ``get_workers`` returns whom to ask. ``started`` are workers that got tasks just now, and
-        whose agents hear with them of what is wanted.
+        A request is sent only if it is more urgent than the one before. ``get_workers`` returns
+        the workers to choose from. ``started`` are workers that are being sent a task, and the
+        request with it.
         """
-        before = self._wants
-        self._wants = {service: self._make_want(job, now) for service, job in firsts.items()}
+        before = self._requests
+        self._requests = {service: self._make_request(job, now) for service, job in firsts.items()}
         self._asked.update(started)
         actions: list[Action] = []
-        for service, want in self._wants.items():
-            if not _is_more_urgent(want, before.get(service)):
+        for service, request in self._requests.items():
+            if not _is_more_urgent(request, before.get(service)):
                 continue
             names = self._choose(
                 view.name
                 for view in get_workers(service)
-                if view.name not in started and view.capacity.cpu >= want.cpu
+                if view.name not in started and view.capacity.cpu >= request.cpu
             )
             if names:
                 self._asked.update(names)
-                actions.append(RequestCapacity(workers=names, request=want))
+                actions.append(RequestCapacity(workers=names, request=request))
         return actions
 
     def request_preemption(
@@ -80,23 +78,23 @@
         *,
         now: float,
     ) -> list[Action]:
-        """Ask for less urgent runs to be stopped: for each waiting task on another worker.
+        """Request that less urgent runs be stopped, on one worker for each waiting task.
 
-        ``get_workers`` returns those that a job could use.
+        ``get_workers`` returns the workers that are eligible for a job.
         """
         actions: list[Action] = []
         for job in jobs:
             priority = job.request.queue.priority
-            want = replace(self._make_want(job, now), preempts_from=priority + 1)
+            request = replace(self._make_request(job, now), preempts_from=priority + 1)
             names = self._choose(view.name for view in get_workers(job))[: len(job.waiting)]
             if names:
                 self._asked.update(names)
-                actions.append(RequestCapacity(workers=names, request=want))
+                actions.append(RequestCapacity(workers=names, request=request))
         return actions
 
     def decline_unneeded_offer(self, view: WorkerView, actions: list[Action]) -> list[Action]:
-        """Give room back that an agent has told of, if nothing waits that it could be used for."""
-        if view.name not in self._asked or view.service in self._wants:
+        """Withdraw the request to an agent that offers capacity which no waiting job needs."""
+        if view.name not in self._asked or view.service in self._requests:
             return []
         if any(isinstance(action, StartTask) and action.worker == view.name for action in actions):
             return []
@@ -104,33 +102,34 @@
         return [RequestCapacity(workers=(view.name,), request=None)]
 
     def forget(self, worker: str) -> None:
-        """Note that a worker is out of reach."""
+        """Drop a worker that has become unreachable."""
         self._asked.discard(worker)
 
-    def _make_want(self, job: Job, now: float) -> CapacityRequest:
+    def _make_request(self, job: Job, now: float) -> CapacityRequest:
         cpu = min(task.step.resources.cpu for task in job.waiting)
         return CapacityRequest(rank=self._order.get_key(job, now=now), cpu=cpu)
 
     def _choose(self, workers: Iterable[str]) -> tuple[str, ...]:
-        """Return whom to ask, others each time if they are many."""
+        """Return the workers to send a request to, in rotation if there are too many."""
         names = list(workers)
-        if len(names) <= MOST_ASKED:
+        if len(names) <= MAX_WORKERS_ASKED:
             return tuple(names)
-        self._turn = (self._turn + MOST_ASKED) % len(names)
-        return tuple((names * 2)[self._turn : self._turn + MOST_ASKED])
+        self._offset = (self._offset + MAX_WORKERS_ASKED) % len(names)
+        return tuple((names * 2)[self._offset : self._offset + MAX_WORKERS_ASKED])
 
 
-def _is_more_urgent(want: CapacityRequest, before: CapacityRequest | None) -> bool:
-    """Tell whether a want is of a more urgent class than the one before.
+def _is_more_urgent(request: CapacityRequest, before: CapacityRequest | None) -> bool:
+    """Return whether a request is of a more urgent class than the one before.
 
-    Only that is news worth a message a worker: what became less urgent is told with the next start,
-    or when room is offered. Telling every change of class took twice as many messages by
-    simulation, 34,900 in place of 18,000 in 25 s, and earned no more.
+    Other changes are sent with the next start or when capacity is offered, to save messages.
     """
-    return before is None or _get_class(want) < _get_class(before)
+    return before is None or _get_class(request) < _get_class(before)
 
 
-def _get_class(want: CapacityRequest) -> tuple[float, ...]:
-    """Return a rank without its time, and with what has begun and what can be on time alike."""
-    standing, *others = want.rank[:-1]
+def _get_class(request: CapacityRequest) -> tuple[float, ...]:
+    """Return the rank without its time.
+
+    Jobs that have started and jobs that can still be on time are of the same class.
+    """
+    standing, *others = request.rank[:-1]
     return (max(standing, ON_TIME), *others)
--- a/dalemast/core/scheduling/exclusions.py
+++ b/dalemast/core/scheduling/exclusions.py
@@ -1,7 +1,7 @@
-"""Which rule keeps waiting work from each worker: what an operator asks of a refused job.
+"""Which rule excluded each worker for a waiting task, to explain a refusal to operators.
 
-Under overload most refusals come with all workers full. One that comes beside a worker with room
-has another cause, such as distrust, an evacuation or a label, which the room alone doesn't show.
+Under overload most refusals happen because all workers are full. A refusal while a worker has free
+capacity has another cause, such as a suspected worker, an evacuation or a label.
 """
 
 from __future__ import annotations
@@ -13,10 +13,11 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class WorkerExclusions:
-    """How many workers of a service each rule keeps a task from.
+    """The number of workers of a service that each rule excludes for a task.
 
-    Each worker counts once: those without room by ``no_room``, and the others by the first of the
-    rules below, in their order. ``suiting`` counts those that no rule leaves out.
+    Each worker counts once, for the first rule that applies in the order of the fields.
+    ``no_room`` means too little free capacity, ``avoided`` that the task should run elsewhere after
+    a failed or slow run. ``suiting`` counts the workers that no rule excludes.
     """
 
     no_room: int = 0
--- a/dalemast/core/scheduling/forecasts.py
+++ b/dalemast/core/scheduling/forecasts.py
@@ -182,9 +182,9 @@
         if self._preempts and self._has_less_urgent(queue):
             return [_get_whole_room(view) for view in views]
         runs = self._list_own_runs(now)
-        fresh_s = LATE_FACTOR * job.objective_s
+        max_age_s = LATE_FACTOR * job.objective_s
         return [
-            get_worker_availability(view, runs.get(view.name, ()), fresh_s=fresh_s, now=now)
+            get_worker_availability(view, runs.get(view.name, ()), max_age_s=max_age_s, now=now)
             for view in views
         ]
 
--- a/dalemast/core/scheduling/infeasible.py
+++ b/dalemast/core/scheduling/infeasible.py
@@ -1,4 +1,4 @@
-"""The judgement of hopeless jobs: those of which no known worker could hold some task."""
+"""Detection of infeasible jobs: those with a task that no known worker could ever run."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 __all__ = ["KnownWorkerKinds"]
 
 INFEASIBLE_AFTER_S = 8.0
-"""How long an owner listens to workers before it calls a job hopeless: heartbeats come every
-1.5 s and agents find a new owner within about a second."""
+"""Time after its start in which an owner calls no job infeasible, in seconds. Until then some
+workers may not have reported yet."""
 
 
 class KnownWorkerKinds:
-    """The kinds of worker that an owner has ever seen, by service."""
+    """The kinds of worker, by capacity and labels, that an owner has known, by service."""
 
     def __init__(self, *, started_at: float) -> None:
         self._started_at = started_at
         self._kinds: dict[str, set[tuple[Resources, frozenset[str]]]] = {}
 
     def add(self, view: WorkerView) -> None:
-        """Take in a worker's capacity and labels; they stay when it has gone, or has shrunk.
+        """Add the capacity and labels of a worker; they are kept after it is lost or shrinks.
 
-        Less than what was seen before with these labels is nothing new: a capacity may change all
-        the time.
+        Nothing is added if a worker of the same labels and at least this capacity is known, so
+        that frequent changes of a capacity don't use up memory.
         """
         kinds = self._kinds.setdefault(view.service, set())
-        alike = {kind for kind in kinds if kind[1] == view.labels}
-        if any(view.capacity.fits(capacity) for capacity, _ in alike):
+        same_labels = {kind for kind in kinds if kind[1] == view.labels}
+        if any(view.capacity.fits(capacity) for capacity, _ in same_labels):
             return
-        kinds -= {kind for kind in alike if kind[0].fits(view.capacity)}
+        kinds -= {kind for kind in same_labels if kind[0].fits(view.capacity)}
         kinds.add((view.capacity, view.labels))
 
     def is_infeasible(self, request: JobRequest, *, now: float) -> bool:
-        """Tell whether no worker that was ever seen could hold one of the job's tasks."""
+        """Return whether the job has a task that no known worker could ever run."""
         if now - self._started_at < INFEASIBLE_AFTER_S:
             return False
         kinds = self._kinds.get(request.queue.service)
         if not kinds:
             return False
-        return not all(_can_be_held(step, kinds) for step in request.steps)
+        return not all(_can_run(step, kinds) for step in request.steps)
 
 
-def _can_be_held(step: StepRequest, kinds: set[tuple[Resources, frozenset[str]]]) -> bool:
+def _can_run(step: StepRequest, kinds: set[tuple[Resources, frozenset[str]]]) -> bool:
     return any(
         step.resources.fits(capacity) and (not step.label or step.label in labels)
         for capacity, labels in kinds
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -31,7 +31,7 @@
     make_queue,
     make_step,
 )
-from tests.core.scheduling.test_capacity_requests import get_questions, make_report
+from tests.core.scheduling.test_capacity_requests import get_requests, make_report
 
 URGENT = make_queue(name="switches", priority=0)
 MIDDLE = make_queue(name="confirmations", priority=1)
@@ -71,7 +71,7 @@
 
     def find_asked(self, *, now: float) -> list[RequestCapacity]:
         """Return the questions for room that may be preempted."""
-        questions = get_questions(self.scheduler.tick(now=now))
+        questions = get_requests(self.scheduler.tick(now=now))
         return [asked for asked in questions if asked.request and asked.request.preempts_from]
 
     def report_room(self, start: StartTask, *, now: float) -> list[Action]:
@@ -89,7 +89,7 @@
 
     def test_it_first_waits_for_a_moment(self) -> None:
         self.submit_long()
-        self.assertEqual([], [a for a in get_questions(self.submit_urgent()) if _preempts(a)])
+        self.assertEqual([], [a for a in get_requests(self.submit_urgent()) if _preempts(a)])
         self.assertEqual([], self.find_asked(now=10.005))
 
     def test_it_asks_again_only_once_the_stops_should_be_over(self) -> None:
--- a/tests/core/scheduling/test_room.py
+++ b/tests/core/scheduling/test_room.py
@@ -1,4 +1,4 @@
-"""An owner's view of a worker's room, and reports that change nothing."""
+"""Tests for an owner's view of a worker's free capacity."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
     return RoomReport(seen=seen, free=free, is_accepting=True)
 
 
-class RoomTests(SchedulerTestCase):
-    def test_starts_since_the_report_are_taken_off(self) -> None:
+class FreeCapacityTests(SchedulerTestCase):
+    def test_starts_that_a_report_does_not_include_are_subtracted(self) -> None:
         self.add_worker("w1", cpu=4000)
         self.scheduler.submit(make_job("a", make_step(2)), now=10.0)
         view = self.scheduler.workers["w1"]
@@ -23,14 +23,14 @@
         view.update(make_report(2000, seen=2), now=10.0)
         self.assertEqual(2000, view.free.cpu)
 
-    def test_a_report_of_too_little_room_starts_nothing_and_of_enough_does(self) -> None:
+    def test_a_task_starts_only_when_enough_capacity_is_reported(self) -> None:
         self.add_worker("w1", cpu=1000)
         self.scheduler.submit(make_job("a", make_step(2)), now=10.0)
         self.assertEqual([], self.scheduler.update_worker("w1", make_report(999, seen=1), now=10))
         starts = self.scheduler.update_worker("w1", make_report(1000, seen=1), now=10.0)
         self.assertEqual(1, len(get_starts(starts)))
 
-    def test_a_smaller_task_that_arrives_later_is_not_overlooked(self) -> None:
+    def test_a_smaller_task_that_arrives_later_is_started(self) -> None:
         self.add_worker("w1", cpu=1000)
         self.scheduler.submit(make_job("a", make_step(2)), now=10.0)
         small = make_step(resources=Resources(cpu=500))
--- a/tests/core/scheduling/test_speed_bounds.py
+++ b/tests/core/scheduling/test_speed_bounds.py
@@ -1,4 +1,4 @@
-"""Which workers suit a job: the bound by its slack, for uneven workers."""
+"""Tests for the maximum slowness of a worker for a job."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def make_sized_job(chain_s: float, *steps) -> Job:
-    """Return a job whose objective is 1.6 times its chain and 60 ms."""
+    """Return a job whose objective is 1.6 times its chain plus 60 ms."""
     request = make_job("a", *(steps or (make_step(estimate_s=chain_s),)))
     objective_s = request.queue.get_objective_s(chain_s)
     return Job(request=request, arrived_at=NOW, objective_s=objective_s, chain_s=chain_s)
@@ -34,9 +34,9 @@
 
 class BoundTests(TestCase):
     def test_table(self) -> None:
-        """A task's run time, how long it has waited, and what its worker may be: seconds."""
+        """Check the bounds for several run times and waiting times, in seconds."""
         rows = [
-            # chain, waited, on time, late
+            # chain_s, waited_s, bound on time, late bound
             (0.1, 0.0, 2.10, 6.29),
             (0.1, 0.06, 1.52, 5.71),
             (0.34, 0.0, 1.69, 5.08),
@@ -53,7 +53,7 @@
                 self.assertAlmostEqual(on_time, get_max_slowness(job, now=now), delta=0.006)
                 self.assertAlmostEqual(late, get_max_slowness_late(job, now=now), delta=0.006)
 
-    def test_what_is_left_of_a_chain_counts(self) -> None:
+    def test_the_bound_is_for_the_remaining_steps(self) -> None:
         steps = (make_step(estimate_s=0.3), make_step(estimate_s=0.1, after=(0,)))
         job = make_sized_job(0.4, *steps)
         whole = get_max_slowness(job, now=NOW)
@@ -61,14 +61,14 @@
         job.set_done(job.tasks[TaskKey(0, 0)])
         self.assertAlmostEqual(4 * whole, get_max_slowness(job, now=NOW))
 
-    def test_a_job_without_a_declared_time_has_a_bound(self) -> None:
+    def test_a_job_without_a_declared_run_time_has_a_bound(self) -> None:
         steps = (make_step(estimate_s=0.0), make_step(estimate_s=0.0, after=(0,)))
         job = make_sized_job(0.4, *steps)
         self.assertAlmostEqual(job.objective_s / 0.4 / SPEED_MARGIN, get_max_slowness(job, now=NOW))
 
 
 class UnevenChoiceTests(TestCase):
-    """Workers of speeds 0.6, 1 and 1.6; only the slow ones have room."""
+    """Workers of speeds 0.6, 1 and 1.6, of which only the slowest has free capacity."""
 
     def choose(self, job: Job, *views: WorkerView, now: float = NOW) -> str | None:
         choices = ChoiceRound(
@@ -86,28 +86,28 @@
         self.usual = make_kind("usual", 1.0, cpu=0)
         self.slow = make_kind("slow", 1.67)
 
-    def test_a_slow_kind_serves_the_jobs_whose_slack_allows_it(self) -> None:
+    def test_a_slow_worker_serves_jobs_with_enough_slack(self) -> None:
         workers = self.fast, self.usual, self.slow
         self.assertEqual("slow", self.choose(make_sized_job(0.1), *workers))
         self.assertEqual("slow", self.choose(make_sized_job(0.34), *workers))
         self.assertIsNone(self.choose(make_sized_job(1.52), *workers))
 
-    def test_one_that_has_waited_leaves_them_out(self) -> None:
+    def test_slow_workers_are_excluded_after_a_wait(self) -> None:
         workers = self.fast, self.usual, self.slow
         self.assertIsNone(self.choose(make_sized_job(0.34), *workers, now=NOW + 0.03))
 
-    def test_a_job_that_will_not_find_better_in_time_is_rather_late_than_refused(self) -> None:
+    def test_a_late_start_is_preferred_to_a_refusal_at_the_latest_start(self) -> None:
         job = make_sized_job(1.52)
         workers = self.fast, self.usual, self.slow
         soon = job.latest_start - 0.05
         self.assertEqual("slow", self.choose(job, *workers, now=soon))
 
-    def test_one_to_which_only_slow_workers_are_left_does_not_wait(self) -> None:
+    def test_a_job_starts_at_once_if_all_workers_are_slow(self) -> None:
         self.assertEqual("slow", self.choose(make_sized_job(1.52), self.slow))
 
-    def test_none_goes_where_it_would_be_of_no_use(self) -> None:
+    def test_no_worker_is_chosen_beyond_the_late_limit(self) -> None:
         job = make_sized_job(1.52)
-        self.assertIsNone(self.choose(job, make_kind("crawling", 5.0)))
+        self.assertIsNone(self.choose(job, make_kind("very-slow", 5.0)))
         self.assertIsNone(self.choose(job, self.slow, now=NOW + 8.0))
 
     def test_a_worker_far_from_the_data_is_slower(self) -> None:
@@ -115,8 +115,8 @@
         job = make_sized_job(0.1, step)
         self.assertIsNone(self.choose(job, self.usual, self.slow))
 
-    def test_a_worker_that_turned_slow_is_left_out_beside_one_of_a_slow_kind(self) -> None:
-        turned = make_kind("turned", 1.0)
-        turned.learn_slowness(4.0, now=NOW, weight=1.0)
-        self.assertIsNone(self.choose(make_sized_job(0.1), self.usual, turned))
-        self.assertEqual("slow", self.choose(make_sized_job(0.1), turned, self.slow))
+    def test_a_worker_that_has_become_slow_is_excluded(self) -> None:
+        degraded = make_kind("degraded", 1.0)
+        degraded.learn_slowness(4.0, now=NOW, weight=1.0)
+        self.assertIsNone(self.choose(make_sized_job(0.1), self.usual, degraded))
+        self.assertEqual("slow", self.choose(make_sized_job(0.1), degraded, self.slow))
