--- a/tests/core/scheduling/test_crashes.py
+++ b/tests/core/scheduling/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which tasks are blamed for the ends of workers, and what follows for their jobs."""
+"""Tests for finding and giving up tasks that crash their workers."""
 
 from __future__ import annotations
 
@@ -54,94 +54,94 @@
     return Crash(incarnation=incarnation, age_s=age_s, **fields)
 
 
-class RecordTests(testtools.TestCase):
+class CrashRecordsTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.open_jobs = {"open"}
         self.records = CrashRecords(open_jobs=self.open_jobs)
 
-    def note(self, *crashes: Crash, job_id: str = "open", now: float = 1.0) -> None:
+    def record(self, *crashes: Crash, job_id: str = "open", now: float = 1.0) -> None:
         for crash in crashes:
             self.records.record(job_id, TASK, crash, now=now)
 
     def should_give_up(self, *crashes: Crash) -> bool:
-        self.note(*crashes)
+        self.record(*crashes)
         return self.records.should_give_up("open", TASK)
 
-    def test_one_crash_is_no_proof(self) -> None:
-        """All that runs on a worker ends with it."""
+    def test_one_crash_only_makes_a_task_suspect(self) -> None:
+        """Every task on a worker ends with it, whichever one caused the crash."""
         self.assertFalse(self.should_give_up(make_crash("i-1")))
         self.assertTrue(self.records.is_suspect("open", TASK))
 
-    def test_two_crashes_at_the_same_age_are_proof(self) -> None:
+    def test_a_task_is_given_up_after_two_crashes_at_the_same_age(self) -> None:
         later = make_crash("i-2", age_s=0.03 + 0.9 * SAME_AGE_S)
         self.assertTrue(self.should_give_up(make_crash("i-1"), later))
 
-    def test_a_task_that_ran_longer_the_second_time_may_be_a_bystander(self) -> None:
+    def test_a_task_is_kept_after_two_crashes_at_different_ages(self) -> None:
         later = make_crash("i-2", age_s=0.03 + 1.1 * SAME_AGE_S)
         self.assertFalse(self.should_give_up(make_crash("i-1"), later))
 
-    def test_an_age_that_nobody_knows_is_no_proof(self) -> None:
+    def test_unknown_ages_do_not_count_as_alike(self) -> None:
         crashes = (make_crash("i-1", age_s=None), make_crash("i-2", age_s=None))
         self.assertFalse(self.should_give_up(*crashes))
 
-    def test_three_crashes_are_enough_however_they_were(self) -> None:
+    def test_a_task_is_given_up_after_three_crashes_at_any_age(self) -> None:
         ages = (0.1, 1.0, None)
         crashes = (make_crash(f"i-{age_s}", age_s=age_s) for age_s in ages)
         self.assertTrue(self.should_give_up(*crashes))
 
-    def note_tasks(self, ages: tuple[float, ...]) -> bool:
-        """Let each task of a job end a worker; return whether the job is suspect."""
+    def record_tasks(self, ages: tuple[float, ...]) -> bool:
+        """Record one crash for each task of a job; return whether the job is suspect."""
         for position, age_s in enumerate(ages):
             crash = make_crash(f"i-{position}", age_s=age_s)
             self.records.record("open", TaskKey(0, position), crash, now=1.0)
         return self.records.is_job_suspect("open")
 
-    def test_a_job_whose_tasks_end_several_workers_alike_is_suspect(self) -> None:
-        self.assertTrue(self.note_tasks((0.03, 0.04, 0.03)))
+    def test_a_job_with_several_crashes_at_the_same_age_is_suspect(self) -> None:
+        self.assertTrue(self.record_tasks((0.03, 0.04, 0.03)))
 
-    def test_a_job_that_lost_several_workers_at_other_ages_is_not(self) -> None:
-        self.assertFalse(self.note_tasks((0.1, 0.5, 1.0)))
+    def test_a_job_with_several_crashes_at_different_ages_is_not_suspect(self) -> None:
+        self.assertFalse(self.record_tasks((0.1, 0.5, 1.0)))
 
-    def test_a_job_that_lost_two_workers_is_not(self) -> None:
-        self.assertFalse(self.note_tasks((0.03, 0.03)))
+    def test_a_job_with_two_crashes_is_not_suspect(self) -> None:
+        self.assertFalse(self.record_tasks((0.03, 0.03)))
 
-    def test_a_task_that_may_have_come_too_late_is_no_cause(self) -> None:
-        """Told three workers in a row that had ended by then, it has cost none of them."""
+    def test_a_task_that_may_not_have_started_is_not_given_up(self) -> None:
+        """Guards against blaming a task whose starts arrived after the crashes."""
         for number in range(MAX_CRASHES):
             self.assertFalse(self.should_give_up(make_crash(f"i-{number}", has_begun=False)))
 
-    def test_ends_that_nobody_saw_are_no_proof_until_they_are_as_many_as_allowed(self) -> None:
-        """Workers that are cut off again and again look the same."""
+    def test_unconfirmed_ends_count_only_towards_the_higher_limit(self) -> None:
+        """Workers that are disconnected repeatedly look the same."""
         for number in range(MAX_ENDS - 1):
-            self.note(make_crash(f"i-{number}", is_observed=False))
+            self.record(make_crash(f"i-{number}", is_observed=False))
         self.assertFalse(self.records.should_give_up("open", TASK))
         self.assertTrue(self.should_give_up(make_crash("i-9", is_observed=False)))
 
-    def test_an_end_that_is_seen_later_counts_once(self) -> None:
-        self.note(make_crash("i-1", is_observed=False))
-        self.note(make_crash("i-1"))
-        self.note(make_crash("i-1", is_observed=False))
+    def test_an_end_that_is_confirmed_later_counts_once(self) -> None:
+        self.record(make_crash("i-1", is_observed=False))
+        self.record(make_crash("i-1"))
+        self.record(make_crash("i-1", is_observed=False))
         (crash,) = self.records.get("open", TASK)
         self.assertTrue(crash.is_observed)
 
-    def test_a_life_that_is_back_has_not_ended(self) -> None:
-        self.note(make_crash("i-1", is_observed=False), make_crash("i-2"))
+    def test_unconfirmed_ends_of_a_responding_incarnation_are_dropped(self) -> None:
+        self.record(make_crash("i-1", is_observed=False), make_crash("i-2"))
         self.assertEqual({"open"}, self.records.clear_unconfirmed("i-1"))
         self.assertEqual(set(), self.records.clear_unconfirmed("i-2"))
         self.assertEqual(["i-2"], [crash.incarnation for crash in self.records.get("open", TASK)])
 
-    def test_an_open_job_is_never_forgotten_and_an_ended_one_after_a_while(self) -> None:
-        self.note(make_crash("i-1"))
-        self.note(make_crash("i-1"), job_id="ended")
+    def test_an_open_job_is_kept_and_an_ended_one_dropped_after_a_while(self) -> None:
+        self.record(make_crash("i-1"))
+        self.record(make_crash("i-1"), job_id="ended")
         self.records.tick(now=1.0 + RETENTION_S)
         self.assertIn("open", self.records)
         self.assertNotIn("ended", self.records)
 
-    def test_what_is_remembered_of_ended_jobs_is_bounded(self) -> None:
-        self.note(make_crash("i-1"))
+    def test_the_number_of_remembered_ended_jobs_is_limited(self) -> None:
+        self.record(make_crash("i-1"))
         for number in range(3 * MAX_ENDED_JOBS):
-            self.note(make_crash("i-1"), job_id=f"ended-{number}")
+            self.record(make_crash("i-1"), job_id=f"ended-{number}")
         self.assertEqual(MAX_ENDED_JOBS + 1, len(self.records))
         self.assertIn("open", self.records)
 
@@ -171,11 +171,11 @@
     return sum(crash.is_observed for crash in records.get("open", TASK))
 
 
-class GivenUpTests(SchedulerTestCase):
-    """What follows from a crash for the jobs that ran there."""
+class CrashHandlingTests(SchedulerTestCase):
+    """How the scheduler handles the jobs of a crashed worker."""
 
     def crash(self, start: StartTask, *, age_s: float | None = 0.03) -> list[Action]:
-        """End a start's worker."""
+        """Crash the worker of a start."""
         row = CrashedTask(job_id=start.job.id, task=start.task, age_s=age_s)
         actions = self.scheduler.note_crash(start.worker, [row], now=10.1)
         return [*actions, *self.scheduler.lose_worker(start.worker, now=10.1)]
@@ -187,7 +187,7 @@
         for number in range(count):
             self.add_worker(f"w{number}", cpu=cpu)
 
-    def test_a_task_is_started_anew_at_once_and_given_up_after_the_second_crash(self) -> None:
+    def test_a_task_is_restarted_at_once_and_given_up_after_the_second_crash(self) -> None:
         self.add_workers(4)
         (first,) = get_starts(self.submit("a"))
         (second,) = get_starts(self.crash(first))
@@ -201,7 +201,7 @@
             {first.worker, second.worker}, {crash.incarnation for crash in given_up.crashes}
         )
 
-    def test_a_bystander_of_two_crashes_goes_on(self) -> None:
+    def test_a_task_with_crashes_at_different_ages_is_restarted(self) -> None:
         self.add_workers(4)
         (first,) = get_starts(self.submit("a"))
         (second,) = get_starts(self.crash(first))
@@ -209,14 +209,14 @@
         (finished,) = get_finished(self.end(third, EndReason.DONE))
         self.assertIs(JobState.SUCCEEDED, finished.state)
 
-    def test_what_else_runs_of_a_job_that_is_given_up_is_stopped(self) -> None:
+    def test_other_runs_of_a_job_that_is_given_up_are_stopped(self) -> None:
         self.add_workers(4, cpu=1000)
         first, other = get_starts(self.submit("a", count=2))
         (second,) = get_starts(self.crash(first))
         (stop,) = get_stops(self.crash(second))
         self.assertEqual((other.worker, other.task), (stop.worker, stop.task))
 
-    def test_the_same_crash_told_again_changes_nothing(self) -> None:
+    def test_a_repeated_report_of_a_crash_changes_nothing(self) -> None:
         self.add_workers(4)
         (first,) = get_starts(self.submit("a"))
         (second,) = get_starts(self.crash(first))
@@ -224,7 +224,7 @@
         self.assertEqual([], self.end(first, EndReason.CRASHED))
         self.assertEqual({second.worker}, self.scheduler.get_busy_workers())
 
-    def test_a_job_asked_for_again_does_not_begin_anew(self) -> None:
+    def test_a_job_that_is_submitted_again_keeps_its_crashes(self) -> None:
         self.add_workers(4)
         (first,) = get_starts(self.submit("a"))
         (second,) = get_starts(self.crash(first))
@@ -235,15 +235,15 @@
         (finished,) = get_finished(actions)
         self.assertIs(JobState.FAILED, finished.state)
 
-    def test_another_owner_that_was_told_does_not_begin_anew(self) -> None:
+    def test_crashes_reported_by_a_peer_count_for_a_new_job(self) -> None:
         self.add_workers(4)
         row = CrashedTask(job_id="a", task=TASK, age_s=0.03)
-        for life in ("w7", "w8"):
-            self.scheduler.note_crash(life, [row], now=9.0)
+        for incarnation in ("w7", "w8"):
+            self.scheduler.note_crash(incarnation, [row], now=9.0)
         self.assertEqual([], get_starts(self.submit("a")))
 
-    def test_what_another_owner_says_of_its_run_ends_none_of_this_owners(self) -> None:
-        """Its run was there before, on a worker that may be back and have this owner's by now."""
+    def test_a_relayed_report_does_not_end_a_run_of_this_owner(self) -> None:
+        """The report may be about an earlier run, on a worker that runs this owner's task now."""
         self.add_workers(2)
         (start,) = get_starts(self.submit("a"))
         row = CrashedTask(job_id="a", task=start.task, age_s=None)
@@ -259,7 +259,7 @@
         (finished,) = get_finished(self.end(start, EndReason.DONE))
         self.assertIs(JobState.SUCCEEDED, finished.state)
 
-    def test_tasks_that_end_their_workers_together_cost_no_more_at_once(self) -> None:
+    def test_tasks_of_a_suspect_job_are_not_all_restarted_at_once(self) -> None:
         self.add_workers(4, cpu=1000)
         starts = get_starts(self.submit("a", count=4))
         for number in range(10, 14):
@@ -269,7 +269,7 @@
         (finished,) = get_finished(self.crash(again[0][0]))
         self.assertIs(JobState.FAILED, finished.state)
 
-    def test_a_worker_that_was_out_of_reach_and_is_back_has_not_crashed(self) -> None:
+    def test_a_worker_that_was_unreachable_and_is_back_has_not_crashed(self) -> None:
         self.add_workers(6)
         (start,) = get_starts(self.submit("a"))
         for number in range(2 * MAX_ENDS):
@@ -282,7 +282,7 @@
         (finished,) = get_finished(self.end(start, EndReason.DONE, now=100.0))
         self.assertIs(JobState.SUCCEEDED, finished.state)
 
-    def test_a_task_whose_runs_all_end_unseen_is_given_up(self) -> None:
+    def test_a_task_whose_ends_are_all_unconfirmed_is_given_up(self) -> None:
         self.add_workers(2 * MAX_ENDS)
         (start,) = get_starts(self.submit("a"))
         starts = 1
@@ -297,16 +297,14 @@
         self.assertEqual(MAX_ENDS, starts)
 
 
-class LostKnowledgeTests(SchedulerTestCase):
-    """What was known of a job's crashes outlives the entries and agents that saw them.
+class LostRecordsTests(SchedulerTestCase):
+    """Guards against too many starts of a task that crashes its workers, with several entries.
 
-    Its caller asks another entry once its own stood still or is gone. A task was started seven
-    times: one entry gave its job up and told nobody of the runs that it had open, another began
-    anew and heard nothing of what its peers knew, and the agent that had seen the crash was killed.
+    Records of its crashes must survive the loss or restart of an entry or an agent.
     """
 
     def make_owner(self) -> None:
-        """Let another owner take the first one's place, one that knows nothing."""
+        """Replace the scheduler by one of another owner, without records."""
         self.scheduler = Scheduler(
             order=LeastSlackOrder(),
             placement=FastestPlacement(remote_factor=1.5),
@@ -316,7 +314,7 @@
         for number in range(2 * MAX_ENDS):
             self.add_worker(f"v{number}")
 
-    def test_a_job_that_is_abandoned_counts_each_of_its_open_runs(self) -> None:
+    def test_each_open_run_of_an_abandoned_job_is_an_unconfirmed_end(self) -> None:
         self.add_worker("w1")
         (start,) = get_starts(self.scheduler.submit(make_job("a"), now=10.0))
         actions = self.scheduler.abandon("a", now=11.0)
@@ -326,7 +324,7 @@
         (end,) = self.scheduler.list_crashes()
         self.assertEqual((start.worker, False), (end.incarnation, end.is_observed))
 
-    def test_an_abandoned_job_whose_worker_is_there_counts_nothing(self) -> None:
+    def test_an_abandoned_run_on_a_responding_worker_does_not_count(self) -> None:
         self.add_worker("w1")
         self.scheduler.submit(make_job("a"), now=10.0)
         self.scheduler.abandon("a", now=11.0)
@@ -334,12 +332,12 @@
         self.scheduler.update_worker("w1", report, now=11.1)
         self.assertEqual({}, self.scheduler.list_crashes())
 
-    def test_a_job_that_was_to_wait_counts_nothing_when_it_is_abandoned(self) -> None:
+    def test_an_abandoned_job_without_runs_does_not_count(self) -> None:
         self.scheduler.submit(make_job("a"), now=10.0)
         self.assertEqual([], self.scheduler.abandon("a", now=10.1))
         self.assertEqual([], self.scheduler.abandon("unknown", now=10.1))
 
-    def test_an_owner_that_began_anew_goes_on_from_what_its_peers_know(self) -> None:
+    def test_a_restarted_owner_uses_the_records_of_its_peers(self) -> None:
         row = CrashedTask(job_id="a", task=TASK, age_s=None)
         for number in range(MAX_ENDS):
             self.scheduler.note_crash(f"w{number}", [row], now=9.0, is_seen=False)
@@ -354,7 +352,7 @@
         (finished,) = get_finished(actions)
         self.assertIs(JobState.FAILED, finished.state)
 
-    def test_what_is_told_keeps_ages_and_what_was_seen(self) -> None:
+    def test_reported_crashes_keep_ages_and_confirmation(self) -> None:
         seen = CrashedTask(job_id="a", task=TASK, age_s=0.03)
         late = CrashedTask(job_id="b", task=TASK, age_s=0.5, has_begun=False)
         self.scheduler.note_crash("w1", [seen, late], now=9.0)
@@ -363,7 +361,7 @@
         rows_by_end = {(end.incarnation, end.is_observed): rows for end, rows in told}
         self.assertEqual({("w1", True): [late, seen], ("w2", False): [seen]}, rows_by_end)
 
-    def test_what_is_told_is_bounded(self) -> None:
+    def test_the_number_of_reported_jobs_is_limited(self) -> None:
         for number in range(2 * MAX_REPORTED_JOBS):
             row = CrashedTask(job_id=f"job {number}", task=TASK, age_s=None)
             self.scheduler.note_crash("w1", [row], now=9.0)
--- a/tests/core/scheduling/test_numbers.py
+++ b/tests/core/scheduling/test_numbers.py
@@ -1,4 +1,4 @@
-"""Runs of a job that comes again are numbered on."""
+"""Tests for the run numbers of jobs that are submitted again."""
 
 from __future__ import annotations
 
@@ -17,5 +17,5 @@
         numbers.tick(now=100.0 + 2 * RETENTION_S)
         self.assertEqual(0, numbers.get("a"))
 
-    def test_a_job_that_is_not_known_begins_anew(self) -> None:
+    def test_an_unknown_job_starts_at_zero(self) -> None:
         self.assertEqual(0, RunNumbers().get("a"))
