--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -1,7 +1,7 @@
-"""Which data centre a job goes to, and a placement that follows it.
+"""The choice of a data centre for each job, and a placement that follows it.
 
-Load patterns: waves of demand whose phases differ by data centre; a data centre that is lost or
-evacuated, whose callers come by the others; a rack whose data many jobs want at once.
+Balances demand that peaks at different times in different data centres, demand that moves to the
+others when a data centre is lost or evacuated, and demand for the data of a single rack.
 """
 
 from __future__ import annotations
@@ -23,34 +23,39 @@
 __all__ = ["BalancedPlacement", "DataCentreOption", "SpillOver"]
 
 SPLIT_COST = START_MARGIN
-"""Share of run time that a single task must gain to leave its job's data centre. A job ends with
-its slowest task, and has this much time to spare: a task that gains less serves nobody alone."""
+"""Share of its run time that a task must gain to be placed outside its job's data centre. A job
+ends with its slowest task, so a smaller gain of a single task does not help it."""
 SWITCH_GAIN = 0.1
-"""Share of run time that work must gain before it turns to other data centres, and in which those
-count as alike. Room is seen late, so that small differences swing."""
-WORD_AGE_S = 1.0
-"""Until when what is told of room that comes free counts."""
-SHORTEST_S = 0.001
+"""Share of the run time that work must gain before it moves to other data centres. Costs that
+differ by less count as equal. Guards against oscillation, as capacity reports arrive late."""
+MAX_REPORT_AGE_S = 1.0
+"""Maximum age of a report on capacity releases, in seconds."""
+MIN_RUN_S = 0.001
+"""Shorter run times count as this long, in seconds."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DataCentreOption:
-    """What a job would find in one data centre now.
+    """What a job would get in one data centre now.
 
-    ``cost`` is the run time of its slowest task there over the usual one, ``wait`` how long its
-    last task waits for room, in usual run times. ``room`` is what is free, in thousandths of a
-    core.
+    ``cost`` is the run time of its slowest task there, and ``wait`` the time until its last task
+    has capacity, both as multiples of the expected run time. ``free_cpu`` is the free capacity, in
+    thousandths of a core.
     """
 
     data_centre: str
     is_near: bool
     cost: float
     wait: float
-    room: int
+    free_cpu: int
 
 
 class SpillOver:
-    """Chooses data centres; work that has turned far stays so until the near one is as good."""
+    """Chooses data centres, with hysteresis.
+
+    Work of a service that spills over to other data centres continues to do so until the entry's
+    own data centre is as good.
+    """
 
     def __init__(self, *, far_penalty: float) -> None:
         self._far_penalty = far_penalty
@@ -58,39 +63,47 @@
 
     @property
     def spilling(self) -> frozenset[str]:
-        """The services whose work goes to other data centres by now."""
+        """The services whose work currently goes to other data centres."""
         return frozenset(self._spilling)
 
     def choose(
-        self, job_id: str, service: str, outlooks: Iterable[DataCentreOption], *, is_bound: bool
+        self, job_id: str, service: str, candidates: Iterable[DataCentreOption], *, is_bound: bool
     ) -> str | None:
         """Return the data centre for a job, or None if there is none.
 
-        ``is_bound`` tells that the job has data somewhere, so that it says nothing of demand.
+        ``is_bound`` means that the job needs the data of a rack. It is then placed by its own costs
+        and does not change where other jobs go.
         """
-        ways = list(outlooks)
-        near = min((self._get_cost(way) for way in ways if way.is_near), default=None)
-        far = min((self._get_cost(way) for way in ways if not way.is_near), default=None)
-        is_spilling = self._turn(service, near, far, is_bound=is_bound)
-        chosen = [way for way in ways if way.is_near is not is_spilling]
+        options = list(candidates)
+        own_cost = min(
+            (self._get_cost(option) for option in options if option.is_near), default=None
+        )
+        other_cost = min(
+            (self._get_cost(option) for option in options if not option.is_near), default=None
+        )
+        is_spilling = self._update_spilling(service, own_cost, other_cost, is_bound=is_bound)
+        chosen = [option for option in options if option.is_near is not is_spilling]
         if not chosen:
             return None
-        # Those that are alike share what spills over by their room: owners don't all turn to one.
-        least = min(self._get_cost(way) for way in chosen)
-        alike = [way for way in chosen if self._get_cost(way) <= least + SWITCH_GAIN]
-        return max(alike, key=lambda way: _draw(job_id, way)).data_centre
-
-    def _get_cost(self, way: DataCentreOption) -> float:
-        return way.cost + way.wait + (0.0 if way.is_near else self._far_penalty)
-
-    def _turn(self, service: str, near: float | None, far: float | None, *, is_bound: bool) -> bool:
-        """Return whether a job goes far, and remember it for the next ones."""
-        if near is None or far is None:
-            return near is None
+        # Data centres of equal cost share the work by free capacity, so that the owners don't all
+        # choose the same one.
+        least = min(self._get_cost(option) for option in chosen)
+        equal = [option for option in chosen if self._get_cost(option) <= least + SWITCH_GAIN]
+        return max(equal, key=lambda option: _get_random_rank(job_id, option)).data_centre
+
+    def _get_cost(self, option: DataCentreOption) -> float:
+        return option.cost + option.wait + (0.0 if option.is_near else self._far_penalty)
+
+    def _update_spilling(
+        self, service: str, own_cost: float | None, other_cost: float | None, *, is_bound: bool
+    ) -> bool:
+        """Return whether a job goes to another data centre, and store it for the next jobs."""
+        if own_cost is None or other_cost is None:
+            return own_cost is None
         if is_bound:
-            return far < near
+            return other_cost < own_cost
         was_spilling = service in self._spilling
-        is_spilling = far < near if was_spilling else far + SWITCH_GAIN < near
+        is_spilling = other_cost < own_cost if was_spilling else other_cost + SWITCH_GAIN < own_cost
         if is_spilling:
             self._spilling.add(service)
         else:
@@ -99,7 +112,7 @@
 
 
 class BalancedPlacement(FastestPlacement):
-    """Keeps a job in one data centre, and room on racks whose data is wanted."""
+    """Keeps a job in one data centre, and capacity free on racks whose data is in demand."""
 
     def __init__(self, *, remote_factor: float, far_penalty: float) -> None:
         super().__init__(remote_factor=remote_factor, far_penalty=far_penalty)
@@ -108,10 +121,10 @@
         self._loads: dict[str, float] = {}
         self._demand = DemandTracker()
         self._planned: Counter[str] = Counter()
-        """By data centre, how often it was chosen for a job."""
+        """How often each data centre was chosen for a job."""
 
     def describe(self) -> dict[str, object]:
-        """Return where jobs go and which racks are wanted."""
+        """Return where jobs go and which racks are in demand."""
         return {
             "spilling": sorted(self._spill_over.spilling),
             "planned": dict(self._planned),
@@ -119,130 +132,136 @@
         }
 
     def note_job(self, request: JobRequest, run_times: RunTimes, *, now: float) -> None:
-        """Count what racks a job's data makes wanted."""
+        """Count a job towards the demand for the racks of its data."""
         self._racks.note_job(request, run_times, now=now)
 
     def read_demand(self, demand: DemandTracker) -> None:
-        """Take what waits at the other entries from a book."""
+        """Use this tracker for the queued work of other entries."""
         self._demand = demand
 
     def plan(
         self, job: Job, workers: Iterable[WorkerView], run_times: RunTimes, *, now: float
     ) -> None:
-        """Choose a job's data centre, unless it has begun in one that still takes tasks."""
+        """Choose a job's data centre, unless it has started in one that still accepts tasks."""
         views = list(workers)
         service = job.request.queue.service
         self._loads = self._racks.get_loads(service, views, now=now)
         if job.has_begun and any(view.data_centre == job.data_centre for view in views):
             return
         step = job.waiting[0].step
-        usual_s = run_times.expect(queue=job.request.queue.name, declared_s=step.estimate_s)
+        expected_s = run_times.expect(queue=job.request.queue.name, declared_s=step.estimate_s)
         by_data_centre: dict[str, list[WorkerView]] = {}
         for view in views:
             by_data_centre.setdefault(view.data_centre, []).append(view)
         waiting = self._demand.get_core_s_ahead_by_data_centre(
             service, job.request.queue.priority, now
         )
-        outlooks = [
-            self._look(place, there, job, step, waiting.get(place, 0.0), usual_s, now)
-            for place, there in by_data_centre.items()
+        options = [
+            self._make_option(
+                data_centre, members, job, step, waiting.get(data_centre, 0.0), expected_s, now
+            )
+            for data_centre, members in by_data_centre.items()
         ]
         is_bound = any(step.data_rack for step in job.request.steps)
         job.data_centre = self._spill_over.choose(
-            job.request.id, service, outlooks, is_bound=is_bound
+            job.request.id, service, options, is_bound=is_bound
         )
         if job.data_centre is not None:
             self._planned[job.data_centre] += 1
 
-    def _look(
+    def _make_option(
         self,
-        place: str,
+        data_centre: str,
         views: list[WorkerView],
         job: Job,
         step: StepRequest,
         waiting_core_s: float,
-        usual_s: float,
+        expected_s: float,
         now: float,
     ) -> DataCentreOption:
-        """Return what a job would find in a data centre."""
-        wanted = len(job.waiting)
+        """Return what a job would get in a data centre."""
+        needed_tasks = len(job.waiting)
         costs: list[float] = []
-        ways = sorted(
+        options = sorted(
             ((self._get_task_cost(step, view, now), view) for view in views),
-            key=lambda way: way[0],
+            key=lambda option: option[0],
         )
-        for cost, view in ways:
-            room = min(_count_room(step.resources, view.free), wanted - len(costs))
-            costs += [cost] * room
-            if len(costs) == wanted:
+        for cost, view in options:
+            fitting = min(_count_fitting(step.resources, view.free), needed_tasks - len(costs))
+            costs += [cost] * fitting
+            if len(costs) == needed_tasks:
                 break
-        missing = wanted - len(costs)
+        missing = needed_tasks - len(costs)
         cores = sum(view.capacity.cpu for view in views) / 1000
         wait_s = waiting_core_s / cores if cores > 0 else 0.0
         if missing:
-            wait_s += _expect_wait_s(step.resources, views, missing, usual_s, now)
-            # What does not fit is started elsewhere, since nothing waits while there is room.
-            costs.append(SPLIT_COST + ways[0][0])
+            wait_s += _expect_wait_s(step.resources, views, missing, expected_s, now)
+            # Tasks that don't fit are started in another data centre if it has free capacity.
+            costs.append(SPLIT_COST + options[0][0])
         return DataCentreOption(
-            data_centre=place,
+            data_centre=data_centre,
             is_near=any(view.is_near for view in views),
             cost=max(costs),
-            wait=wait_s / max(usual_s, SHORTEST_S),
-            room=sum(max(view.free.cpu, 0) for view in views),
+            wait=wait_s / max(expected_s, MIN_RUN_S),
+            free_cpu=sum(max(view.free.cpu, 0) for view in views),
         )
 
     def _get_task_cost(self, step: StepRequest, view: WorkerView, now: float) -> float:
         return view.get_slowness(now) * self.get_run_factor(step, view)
 
     def _get_place_cost(self, job: Job, step: StepRequest, worker: WorkerView) -> float:
-        """Return what a worker costs for where it stands, in run times."""
+        """Return the cost of a worker's location, as a share of the run time."""
         if job.data_centre is None:
-            border = super()._get_place_cost(job, step, worker)
+            distance_cost = super()._get_place_cost(job, step, worker)
         else:
-            border = 0.0 if worker.data_centre == job.data_centre else SPLIT_COST
-        return border + self._get_rack_charge(step, worker)
+            distance_cost = 0.0 if worker.data_centre == job.data_centre else SPLIT_COST
+        return distance_cost + self._get_rack_cost(step, worker)
 
-    def _get_rack_charge(self, step: StepRequest, worker: WorkerView) -> float:
-        """Return what a task that does not need a rack costs those that do, by their chance."""
+    def _get_rack_cost(self, step: StepRequest, worker: WorkerView) -> float:
+        """Return the expected cost, to tasks that need a rack, of placing another task there."""
         if not self._loads or step.data_rack in worker.labels:
             return 0.0
-        wanted = max(map(self._loads.__getitem__, self._loads.keys() & worker.labels), default=0.0)
-        return wanted * (self.remote_factor - 1.0)
+        load = max(map(self._loads.__getitem__, self._loads.keys() & worker.labels), default=0.0)
+        return load * (self.remote_factor - 1.0)
 
 
-def _count_room(needed: Resources, free: Resources) -> int:
-    """Return how many tasks fit."""
+def _count_fitting(needed: Resources, free: Resources) -> int:
+    """Return how many tasks fit into free capacity."""
     pairs = ((free.cpu, needed.cpu), (free.memory_mb, needed.memory_mb), (free.gpu, needed.gpu))
     return max(min((has // needs for has, needs in pairs if needs > 0), default=0), 0)
 
 
 def _expect_wait_s(
-    needed: Resources, views: list[WorkerView], missing: int, usual_s: float, now: float
+    needed: Resources, views: list[WorkerView], missing: int, expected_s: float, now: float
 ) -> float:
-    """Return when room for so many more tasks is free, in seconds.
+    """Return the time until there is capacity for ``missing`` more tasks, in seconds.
 
-    By agents' words on room that comes, and else as if tasks like these ran on all of them.
+    It is taken from the reported capacity releases. If they are not enough, all workers are assumed
+    to be running tasks like these.
     """
-    slots = sum(_count_room(needed, view.capacity) for view in views)
+    slots = sum(_count_fitting(needed, view.capacity) for view in views)
     if not slots:
         return float("inf")
     steps = sorted(
-        (max(room.in_s - (now - view.coming_told_at), 0.0), room.cpu)
+        (max(release.in_s - (now - view.coming_told_at), 0.0), release.cpu)
         for view in views
-        if now - view.coming_told_at <= WORD_AGE_S
-        for room in view.coming
-        if 0.0 <= room.in_s < float("inf") and room.cpu > 0
+        if now - view.coming_told_at <= MAX_REPORT_AGE_S
+        for release in view.coming
+        if 0.0 <= release.in_s < float("inf") and release.cpu > 0
     )
     left = missing * needed.cpu
     for in_s, cpu in steps:
         left -= cpu
         if left <= 0:
             return in_s
-    return missing * usual_s / slots
+    return missing * expected_s / slots
+
 
+def _get_random_rank(job_id: str, option: DataCentreOption) -> float:
+    """Return a random rank that is the same at all owners.
 
-def _draw(job_id: str, way: DataCentreOption) -> float:
-    """Return a draw that all owners make alike; a way wins as often as its share of the room."""
-    digest = hashlib.blake2b(f"{job_id} {way.data_centre}".encode(), digest_size=8).digest()
+    An option has the highest rank with a probability equal to its share of the free capacity.
+    """
+    digest = hashlib.blake2b(f"{job_id} {option.data_centre}".encode(), digest_size=8).digest()
     share = (int.from_bytes(digest, "big") + 1) / 2**64
-    return math.log(share) / max(way.room, 1)
+    return math.log(share) / max(option.free_cpu, 1)
--- a/dalemast/core/scheduling/forecasts.py
+++ b/dalemast/core/scheduling/forecasts.py
@@ -1,9 +1,9 @@
-"""The forecast of a job's begin as it arrives and finds no room: the soonest that it can.
+"""Forecast of the earliest start of a job that finds no free capacity on arrival.
 
-It answers overload: more is asked than can be done, and a job that waits in vain takes its caller's
-time and is refused all the same. What it takes in: room that comes free, by agents' words and this
-owner's own runs, and the work at least as urgent that goes ahead, here and at other entries. It is
-the soonest begin, not the likely one: by a wrong forecast a job is rather kept than refused.
+Under overload, a job that would wait and still be refused can be refused at once. The forecast
+includes the expected capacity releases, from agents' reports and this owner's own runs, and the
+waiting work that is at least as urgent, here and at other entries. It is the earliest start rather
+than the likely one, so that an error keeps a job instead of refusing it.
 """
 
 from __future__ import annotations
@@ -31,33 +31,34 @@
 __all__ = ["DemandElsewhere", "Forecast", "Forecasts"]
 
 MARGIN = 0.5
-"""Share of a forecast by which a job may begin sooner. Declared run times are off by 40 %, and with
-them the room that is told; and a needless refusal costs a caller more than a short wait in vain."""
+"""Share of the forecast time by which a job may start earlier, as run times are inaccurate. Guards
+against needless refusals, which cost a caller more than a short wait."""
 
-LEAST_KNOWN = 0.25
-"""Share of the room in use of which an end must be known: a sample from a quarter of it."""
-LOOK_SHARE = 0.1
-"""Share of a job's objective for which one look at the room serves: less than the margin."""
+MIN_KNOWN_SHARE = 0.25
+"""Minimum share of the capacity in use whose release time must be known for a forecast."""
+REUSE_SHARE = 0.1
+"""Share of a job's objective for which a timeline is reused; must be less than the margin."""
 MAX_REUSE_S = 1.5
-"""How long it serves at the most: by then each agent has reported anew."""
-MOST_LOOKS = 256
-"""Looks that are kept, one for each queue and label; they are cheap to take again."""
+"""Maximum time for which a timeline is reused, in seconds. By then each agent has sent a new
+report."""
+MAX_TIMELINES = 256
+"""Maximum number of cached timelines, one for each queue and label."""
 
 
 class DemandElsewhere(Protocol):
-    """What other entries have waiting."""
+    """The queued work of other entries."""
 
     def get_core_s_ahead(self, service: str, priority: int, now: float) -> float:
-        """Return the core-seconds that wait elsewhere for a service and are at least as urgent."""
+        """Return the core-seconds queued at other entries that are at least as urgent."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Forecast:
-    """The soonest that a job can begin.
+    """The earliest start of a job.
 
-    ``begin_s`` is in seconds from now and may be infinite; ``here_core_s`` and ``elsewhere_core_s``
-    is the work that goes ahead of it, in core-seconds, and ``cores`` is the room of the workers
-    that suit it, in use or not.
+    ``begin_s`` is in seconds from now and may be infinite. ``here_core_s`` and ``elsewhere_core_s``
+    are the work ahead of it at this and at other entries, in core-seconds. ``cores`` is the
+    capacity that will be released on the eligible workers.
     """
 
     begin_s: float
@@ -66,13 +67,13 @@
     cores: float
 
     def is_later_than(self, limit_s: float) -> bool:
-        """Tell whether the job surely begins later than in so many seconds."""
+        """Return whether the job starts later than ``limit_s`` from now, with the margin."""
         return (1.0 - MARGIN) * self.begin_s > limit_s
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Ahead:
-    """What goes ahead here: its cores, its core-seconds, and its mean run time by work."""
+class _WorkAhead:
+    """The work ahead at this entry: its cores, core-seconds and mean run time, weighted by work."""
 
     cores: float
     core_s: float
@@ -80,17 +81,17 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Look:
-    """The room for a queue's jobs at a moment, or None if no worker suited them."""
+class _CachedTimeline:
+    """The capacity timeline for a queue's jobs at a time, or None without eligible workers."""
 
     at: float
-    rooms: CapacityTimeline | None
+    timeline: CapacityTimeline | None
 
 
 class Forecasts:
-    """Makes forecasts. ``jobs`` and ``workers`` are the scheduler's, by id.
+    """Makes forecasts. ``jobs`` and ``workers`` are live mappings of the scheduler, by id.
 
-    With ``preempts`` all room counts as free for a job that others may give way to.
+    With ``preempts`` all capacity counts as free for a job that may preempt others.
     """
 
     def __init__(
@@ -109,78 +110,81 @@
         self._run_times = run_times
         self._elsewhere = elsewhere
         self._preempts = preempts
-        self._seen: dict[tuple[str, str, str], _Look] = {}
-        """By service, queue and label, the last look at the room."""
+        self._timelines: dict[tuple[str, str, str], _CachedTimeline] = {}
+        """The last timeline by service, queue and label."""
         self._least_urgent: dict[str, int] = {}
-        """By service, the least urgent priority that has arrived here."""
+        """The least urgent priority that has arrived here, by service."""
 
     def note(self, job: Job) -> None:
-        """Note a job that has arrived."""
+        """Record a job that has arrived."""
         queue = job.request.queue
         known = self._least_urgent.get(queue.service, queue.priority)
         self._least_urgent[queue.service] = max(known, queue.priority)
 
-    def expect(self, job: Job, *, now: float, leaving: Collection[str] = ()) -> Forecast | None:
-        """Return the soonest begin of a job that waits, or None if too little is known.
+    def forecast(self, job: Job, *, now: float, excluded: Collection[str] = ()) -> Forecast | None:
+        """Return the earliest start of a waiting job, or None if too little is known.
 
-        ``leaving`` are ids of jobs that wait no longer.
+        Jobs whose ids are in ``excluded`` don't count as work ahead.
         """
         if not job.waiting:
             return None
-        rooms, age_s = self._get_rooms(job, now)
-        if rooms is None or rooms.known_share < LEAST_KNOWN:
+        timeline, age_s = self._get_timeline(job, now)
+        if timeline is None or timeline.known_share < MIN_KNOWN_SHARE:
             return None
-        least_cpu = min(task.step.resources.cpu for task in job.waiting)
-        ahead = self._sum_up_ahead(job, leaving, now)
+        min_cpu = min(task.step.resources.cpu for task in job.waiting)
+        ahead = self._summarize_ahead(job, excluded, now)
         elsewhere_core_s = self._get_elsewhere(job, now)
-        # The mean by work: other entries tell core-seconds, and the fewest cores they may be.
+        # Other entries report core-seconds only. Divided by the weighted mean run time they give
+        # the fewest cores that they can stand for.
         cores = ahead.cores + elsewhere_core_s / ahead.run_s
-        begin_s = rooms.get_single_worker_start_s(least_cpu)
+        begin_s = timeline.get_single_worker_start_s(min_cpu)
         if cores:
-            shared_s = rooms.get_pooled_start_s(cores + least_cpu / 1000, run_s=ahead.run_s)
+            shared_s = timeline.get_pooled_start_s(cores + min_cpu / 1000, run_s=ahead.run_s)
             begin_s = max(begin_s, shared_s)
         begin_s -= age_s
         return Forecast(
             begin_s=max(begin_s, 0.0),
             here_core_s=ahead.core_s,
             elsewhere_core_s=elsewhere_core_s,
-            cores=rooms.cores,
+            cores=timeline.cores,
         )
 
-    def _get_rooms(self, job: Job, now: float) -> tuple[CapacityTimeline | None, float]:
-        """Return the room that a job may get, None without any, and how old the look at it is.
+    def _get_timeline(self, job: Job, now: float) -> tuple[CapacityTimeline | None, float]:
+        """Return the timeline for a job, None without eligible workers, and its age in seconds.
 
-        One look serves the jobs of a queue for a while: under overload forecasts are asked for more
-        often than the room changes.
+        A timeline is reused for the jobs of a queue, since under overload forecasts are requested
+        more often than the capacity changes.
         """
         queue = job.request.queue
         label = min(task.step.label for task in job.waiting)
         key = (queue.service, queue.name, label)
-        seen = self._seen.get(key)
-        serves_s = min(LOOK_SHARE * job.objective_s, MAX_REUSE_S)
-        if seen is not None and 0.0 <= now - seen.at <= serves_s:
-            return seen.rooms, now - seen.at
-        views = [view for view in self._workers.values() if self._suits(job, label, view, now)]
-        rooms = CapacityTimeline(self._list_rooms(job, views, now)) if views else None
-        if len(self._seen) >= MOST_LOOKS:
-            self._seen.clear()
-        self._seen[key] = _Look(at=now, rooms=rooms)
-        return rooms, 0.0
-
-    def _suits(self, job: Job, label: str, view: WorkerView, now: float) -> bool:
-        """Tell whether a worker could take a job if it had room."""
+        cached = self._timelines.get(key)
+        reuse_s = min(REUSE_SHARE * job.objective_s, MAX_REUSE_S)
+        if cached is not None and 0.0 <= now - cached.at <= reuse_s:
+            return cached.timeline, now - cached.at
+        views = [
+            view for view in self._workers.values() if self._is_eligible(job, label, view, now)
+        ]
+        timeline = CapacityTimeline(self._list_availability(job, views, now)) if views else None
+        if len(self._timelines) >= MAX_TIMELINES:
+            self._timelines.clear()
+        self._timelines[key] = _CachedTimeline(at=now, timeline=timeline)
+        return timeline, 0.0
+
+    def _is_eligible(self, job: Job, label: str, view: WorkerView, now: float) -> bool:
+        """Return whether a worker could run a job if it had free capacity."""
         if view.service != job.request.queue.service or not view.is_accepting:
             return False
         if label and label not in view.labels:
             return False
         return job.is_of_use(slowness=view.get_slowness(now), now=now)
 
-    def _list_rooms(
+    def _list_availability(
         self, job: Job, views: list[WorkerView], now: float
     ) -> list[WorkerAvailability]:
         queue = job.request.queue
         if self._preempts and self._has_less_urgent(queue):
-            return [_get_whole_room(view) for view in views]
+            return [_get_whole_capacity(view) for view in views]
         runs = self._list_own_runs(now)
         max_age_s = LATE_FACTOR * job.objective_s
         return [
@@ -189,12 +193,12 @@
         ]
 
     def _has_less_urgent(self, queue: Queue) -> bool:
-        """Tell whether a queue may preempt others, and less urgent ones have arrived."""
+        """Return whether a queue may preempt others and less urgent jobs have arrived."""
         least_urgent = self._least_urgent.get(queue.service, queue.priority)
         return queue.priority <= MAY_PREEMPT and queue.priority < least_urgent
 
     def _list_own_runs(self, now: float) -> dict[str, list[OwnRun]]:
-        """Return this owner's runs by worker."""
+        """Return this owner's runs, by worker."""
         runs: dict[str, list[OwnRun]] = {}
         for job in self._jobs.values():
             if not job.has_begun:
@@ -209,29 +213,32 @@
                 runs.setdefault(task.worker, []).append(run)
         return runs
 
-    def _sum_up_ahead(self, job: Job, leaving: Collection[str], now: float) -> _Ahead:
-        """Return what waits here ahead of a job."""
+    def _summarize_ahead(self, job: Job, excluded: Collection[str], now: float) -> _WorkAhead:
+        """Return the waiting work ahead of a job at this entry."""
         key = self._order.get_key(job, now=now)
         service = job.request.queue.service
         cores = core_s = 0.0
-        # The job's own work counts in the mean alone, which so has a value.
-        own_core_s, weighted = self._weigh(job)[1:]
+        # The job's own work counts only in the mean, which is defined even if nothing is ahead.
+        own_core_s, weighted = self._get_waiting_work(job)[1:]
         for other in self._jobs.values():
             if other is job or not other.waiting or other.request.queue.service != service:
                 continue
-            if other.request.id in leaving or self._order.get_key(other, now=now) > key:
+            if other.request.id in excluded or self._order.get_key(other, now=now) > key:
                 continue
-            other_cores, other_core_s, other_weighted = self._weigh(other)
+            other_cores, other_core_s, other_weighted = self._get_waiting_work(other)
             cores += other_cores
             core_s += other_core_s
             weighted += other_weighted
         total = core_s + own_core_s
-        return _Ahead(
+        return _WorkAhead(
             cores=cores, core_s=core_s, run_s=bound_run_s(weighted / total if total else 0.0)
         )
 
-    def _weigh(self, job: Job) -> tuple[float, float, float]:
-        """Return cores and core-seconds of what waits of a job, and the latter times run times."""
+    def _get_waiting_work(self, job: Job) -> tuple[float, float, float]:
+        """Return the cores and core-seconds of a job's waiting tasks.
+
+        The third value is the sum of their core-seconds, each multiplied by its run time.
+        """
         name = job.request.queue.name
         cores = core_s = weighted = 0.0
         for task in job.waiting:
@@ -243,13 +250,13 @@
         return cores, core_s, weighted
 
     def _get_elsewhere(self, job: Job, now: float) -> float:
-        """Return the core-seconds ahead at other entries; a word that is no number counts as 0."""
+        """Return the core-seconds ahead at other entries; NaN or infinity counts as 0."""
         queue = job.request.queue
         core_s = self._elsewhere.get_core_s_ahead(queue.service, queue.priority, now)
         return max(core_s, 0.0) if math.isfinite(core_s) else 0.0
 
 
-def _get_whole_room(view: WorkerView) -> WorkerAvailability:
-    """Return all room of a worker, as free at once; one that has shrunk to nothing has none."""
+def _get_whole_capacity(view: WorkerView) -> WorkerAvailability:
+    """Return the whole capacity of a worker as released at once, for a job that may preempt."""
     cpu = view.capacity.cpu
     return WorkerAvailability(0, [CapacityStep(0.0, 0.0, cpu)] if cpu > 0 else [])
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -1,4 +1,4 @@
-"""The judgement of waiting jobs: when one is refused, and what its caller is told."""
+"""When a waiting job is refused, and what the refusal reports."""
 
 from __future__ import annotations
 
@@ -17,24 +17,21 @@
 
 __all__ = ["Refusals"]
 
-OFFER_SHARE = 0.25
-"""Share of its objective for which a job may wait without a start before it is refused; beyond
-it a refusal helps nobody any more."""
-SETTLING_S = 2.0
-"""How long after its start an owner may expect further workers at most: they report every 1.5 s,
-and their agents start within about half a second of it."""
-QUIET_S = 0.2
-"""How long after the last new worker it expects more: the others' reports came within 0.6 s of each
-other. Until then a job that can only be late is kept, since room is about to be found; kept on for
-2 s, such jobs took room from those that callers send again after a loss of power."""
+MIN_WAIT_SHARE = 0.25
+"""Minimum wait before a job is refused, as a share of its objective."""
+MAX_DISCOVERY_S = 2.0
+"""Maximum time after its start for which an owner expects further workers, in seconds."""
+DISCOVERY_GAP_S = 0.2
+"""Time after the last new worker for which more are expected, in seconds. Until then, jobs that can
+only be late are kept. Kept for longer, they would take capacity from jobs that callers resubmit."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Load:
-    """What refusals of one moment say alike; ``most_free`` and ``held_cpu`` are by service.
+    """The load that all refusals of one moment report.
 
-    ``held_cpu`` is what runs of this owner take. ``left_out`` keeps what was counted for tasks that
-    need the same.
+    ``most_free`` is the most CPU that is free on one worker and ``held_cpu`` the CPU that runs of
+    this owner use, both by service. ``exclusions`` caches the result for tasks with the same needs.
     """
 
     most_free: dict[str, int]
@@ -42,27 +39,27 @@
     waiting_jobs: int
     retry_after_s: float
     choices: ChoiceRound
-    left_out: dict[tuple[str, Resources, str], WorkerExclusions] = field(default_factory=dict)
+    exclusions: dict[tuple[str, Resources, str], WorkerExclusions] = field(default_factory=dict)
 
-    def count_left_out(self, job: Job) -> WorkerExclusions:
-        """Return which rules kept a job's first task from the workers."""
+    def count_exclusions(self, job: Job) -> WorkerExclusions:
+        """Return how many workers each rule excluded for a job's first waiting task."""
         first = next((task for task in job.waiting if not job.holds_back(task)), None)
         if first is None:
             return WorkerExclusions()
         if first.avoided:
             return self.choices.count_left_out(job, first)
         kind = (job.request.queue.service, first.step.resources, first.step.label)
-        if kind not in self.left_out:
-            self.left_out[kind] = self.choices.count_left_out(job, first)
-        return self.left_out[kind]
+        if kind not in self.exclusions:
+            self.exclusions[kind] = self.choices.count_left_out(job, first)
+        return self.exclusions[kind]
 
 
 class Refusals:
-    """Refuses jobs that have not begun and have no time left to be of use.
+    """Refuses jobs that have not started and can no longer be answered in time.
 
-    ``jobs`` and ``workers`` are those of the scheduler, by id; it adds to them and takes away. With
-    ``forecasts`` a job that would wait in vain need not wait, and each caller gets its own time to
-    come back.
+    ``jobs`` and ``workers`` are live mappings of the scheduler, by id. With ``forecasts`` a job
+    that is forecast to start too late is refused on arrival, and each caller gets a retry time of
+    its own.
     """
 
     def __init__(
@@ -77,34 +74,34 @@
         self._jobs = jobs
         self._workers = workers
         self._choice = choice
-        self._settling_until = started_at + SETTLING_S
-        self._found_worker_at: float | None = None
+        self._discovery_until = started_at + MAX_DISCOVERY_S
+        self._last_worker_at: float | None = None
         self._forecasts = forecasts
-        self._returns = RetryTimes()
+        self._retry_times = RetryTimes()
 
     def note_new_worker(self, *, now: float) -> None:
-        """Note that a worker came into reach."""
-        self._found_worker_at = now
+        """Record that a worker has become reachable."""
+        self._last_worker_at = now
 
     def is_forecast_late(self, job: Job, *, now: float) -> bool:
-        """Tell whether a job that has just arrived would surely wait until its refusal is due.
+        """Return whether a job that has just arrived is forecast to start after its refusal is due.
 
-        An owner that has just started knows too little to say so.
+        An owner that has just started does not know enough workers for a forecast.
         """
-        if self._forecasts is None or job.has_begun or now < self._settling_until:
+        if self._forecasts is None or job.has_begun or now < self._discovery_until:
             return False
-        forecast = self._forecasts.expect(job, now=now)
-        return forecast is not None and forecast.is_later_than(_get_due(job) - now)
+        forecast = self._forecasts.forecast(job, now=now)
+        return forecast is not None and forecast.is_later_than(_get_due_time(job) - now)
 
     def find_due(self, *, now: float) -> list[Job]:
         """Return the jobs whose refusal is due."""
         return [job for job in self._jobs.values() if self._is_overdue(job, now)]
 
     def refuse(self, jobs: Collection[Job], *, now: float) -> list[JobRefused]:
-        """Return the refusals of these jobs; the scheduler forgets them."""
+        """Return the refusals of these jobs. The scheduler must drop the jobs."""
         if not jobs:
             return []
-        # What is said of the load is the same for all, and counts those that are refused too.
+        # All refusals report the same load, which includes the refused jobs.
         load = _Load(
             most_free=self._choice.get_most_free(),
             held_cpu=self._count_held_cpu(),
@@ -114,33 +111,34 @@
         )
         if self._forecasts is None:
             return [self._make_refusal(job, load, now) for job in jobs]
-        return self._refuse_in_turn(jobs, self._forecasts, load, now)
+        return self._refuse_with_forecasts(jobs, self._forecasts, load, now)
 
-    def _refuse_in_turn(
+    def _refuse_with_forecasts(
         self, jobs: Collection[Job], forecasts: Forecasts, load: _Load, now: float
     ) -> list[JobRefused]:
-        """Give each caller its own time to come back, the more urgent first."""
-        leaving = {job.request.id for job in jobs}
-        made: dict[tuple[str, int], Forecast | None] = {}
+        """Return refusals with a retry time for each caller, the most urgent first."""
+        refused_ids = {job.request.id for job in jobs}
+        known: dict[tuple[str, int], Forecast | None] = {}
         refusals = []
         for job in sorted(jobs, key=lambda job: job.request.queue.priority):
             kind = (job.request.queue.service, job.request.queue.priority)
-            if kind not in made:
-                made[kind] = forecasts.expect(job, leaving=leaving, now=now)
+            if kind not in known:
+                known[kind] = forecasts.forecast(job, excluded=refused_ids, now=now)
             refusal = self._make_refusal(job, load, now)
-            retry_after_s = self._plan_return(job, made[kind], load, now)
-            refusals.append(replace(refusal, retry_after_s=retry_after_s, forecast=made[kind]))
+            retry_after_s = self._plan_retry(job, known[kind], load, now)
+            refusals.append(replace(refusal, retry_after_s=retry_after_s, forecast=known[kind]))
         return refusals
 
-    def _plan_return(self, job: Job, forecast: Forecast | None, load: _Load, now: float) -> float:
-        """Return in how many seconds a caller should come back.
+    def _plan_retry(self, job: Job, forecast: Forecast | None, load: _Load, now: float) -> float:
+        """Return after how many seconds a caller should retry.
 
-        What is refused here gets the room that this owner's work has now, at least its own width.
+        Refused jobs are assumed to get the capacity that this owner's runs use now, and at least as
+        much as the job needs to run its tasks in parallel.
         """
         core_s = job.request.core_seconds
         width = core_s / job.chain_s if job.chain_s else 0.0
         held_cpu = load.held_cpu[job.request.queue.service]
-        return self._returns.plan(
+        return self._retry_times.plan(
             job,
             begin_s=load.retry_after_s if forecast is None else forecast.begin_s,
             core_s=core_s,
@@ -149,16 +147,18 @@
         )
 
     def _is_overdue(self, job: Job, now: float) -> bool:
-        """Tell whether it is time to refuse a job."""
-        if job.has_begun or now - job.arrived_at <= OFFER_SHARE * job.objective_s:
+        """Return whether the refusal of a job is due."""
+        if job.has_begun or now - job.arrived_at <= MIN_WAIT_SHARE * job.objective_s:
             return False
-        return now > (job.latest_late_start if self._is_settling(now) else job.latest_start)
+        return now > (
+            job.latest_late_start if self._is_discovering_workers(now) else job.latest_start
+        )
 
-    def _is_settling(self, now: float) -> bool:
-        """Tell whether this owner has just started and is still finding workers."""
-        if now >= self._settling_until:
+    def _is_discovering_workers(self, now: float) -> bool:
+        """Return whether this owner has just started and expects further workers."""
+        if now >= self._discovery_until:
             return False
-        return self._found_worker_at is None or now < self._found_worker_at + QUIET_S
+        return self._last_worker_at is None or now < self._last_worker_at + DISCOVERY_GAP_S
 
     def _make_refusal(self, job: Job, load: _Load, now: float) -> JobRefused:
         service = job.request.queue.service
@@ -173,11 +173,11 @@
             needed_cpu=max((task.step.resources.cpu for task in job.waiting), default=0),
             free_cpu=load.most_free.get(service, -1),
             view_age_s=max((view.get_age_s(now) for view in views), default=0.0),
-            left_out=load.count_left_out(job),
+            left_out=load.count_exclusions(job),
         )
 
     def _count_held_cpu(self) -> Counter[str]:
-        """Return what this owner's runs take, in thousandths of a core, by service."""
+        """Return the CPU that this owner's runs use, in thousandths of a core, by service."""
         held: Counter[str] = Counter()
         if self._forecasts is None:
             return held
@@ -188,7 +188,7 @@
         return held
 
     def _get_retry_after_s(self) -> float:
-        """Return the time in which the waiting work would be done by the workers in reach."""
+        """Return the time in which the reachable workers could finish the waiting work."""
         cores = sum(view.capacity.cpu for view in self._workers.values()) / 1000
         work = sum(job.request.core_seconds for job in self._jobs.values() if job.waiting)
         lowest, highest = RETRY_AFTER_S
@@ -197,6 +197,6 @@
         return min(max(work / cores, lowest), highest)
 
 
-def _get_due(job: Job) -> float:
-    """Return when the refusal of a job that has not begun is due, unless its owner settles."""
-    return max(job.arrived_at + OFFER_SHARE * job.objective_s, job.latest_start)
+def _get_due_time(job: Job) -> float:
+    """Return when the refusal of a job that has not started is due, on a long-running owner."""
+    return max(job.arrived_at + MIN_WAIT_SHARE * job.objective_s, job.latest_start)
--- a/tests/core/scheduling/test_absurd_times.py
+++ b/tests/core/scheduling/test_absurd_times.py
@@ -1,4 +1,4 @@
-"""Absurd times, told by agents or declared by callers, beside usual ones."""
+"""Tests with absurd run times, reported by agents or declared by callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RunTimeTests(testtools.TestCase):
-    def test_absurd_run_times_teach_nothing(self) -> None:
+    def test_absurd_run_times_are_ignored(self) -> None:
         run_times = RunTimes()
         run_times.learn(queue="draws", declared_s=0.1, actual_s=0.2)
         before = run_times.expect(queue="draws", declared_s=0.1)
@@ -24,7 +24,7 @@
             run_times.learn(queue="draws", declared_s=0.1, actual_s=actual_s)
         self.assertEqual(before, run_times.expect(queue="draws", declared_s=0.1))
 
-    def test_absurd_declared_times_do_not_spoil_those_of_others(self) -> None:
+    def test_absurd_declared_times_do_not_affect_other_jobs(self) -> None:
         run_times = RunTimes()
         run_times.learn(queue="draws", declared_s=0.1, actual_s=0.2)
         before = run_times.expect(queue="draws", declared_s=0.1)
@@ -33,8 +33,8 @@
         self.assertEqual(before, run_times.expect(queue="draws", declared_s=0.1))
 
 
-class AgentWordTests(SchedulerTestCase):
-    """Ends whose run times can't be true, between ends of usual ones."""
+class ReportedRunTimeTests(SchedulerTestCase):
+    """Guards against implausible run times that distort the learned ones."""
 
     policy = LoadPolicy(forecasts=True, learns_speeds=True)
 
@@ -44,9 +44,9 @@
             "w1", job_id, start.task, start.run, EndReason.DONE, run_s=run_s, now=now + RUN_S
         )
 
-    def test_run_times_that_can_not_be_true_teach_nothing(self) -> None:
+    def test_implausible_run_times_are_ignored(self) -> None:
         self.add_worker("w1", cpu=16_000)
-        self.end("usual", run_s=RUN_S, now=NOW)
+        self.end("normal", run_s=RUN_S, now=NOW)
         for number, run_s in enumerate((*ABSURD, 1e300, 1e6)):
             self.end(f"j{number}", run_s=run_s, now=NOW + number)
         self.assertAlmostEqual(
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -1,4 +1,4 @@
-"""Uneven demand: waves with shifted phases, a data centre that is gone, and a hot rack."""
+"""Tests for the placement under uneven demand, lost data centres and racks in demand."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 FAR_PENALTY = 0.08
 NEAR, FAR, FARTHER = "austin", "waco", "dallas"
 WORKERS = 2
-"""In each data centre."""
+"""Number of workers in each data centre."""
 FULL = 8000
 
 
@@ -51,10 +51,10 @@
             remote_factor=self.remote_factor, far_penalty=FAR_PENALTY
         )
         self.jobs = 0
-        self.begin(LoadPolicy(shares_demand=True))
+        self.make_owner(LoadPolicy(shares_demand=True))
 
-    def begin(self, policy: LoadPolicy) -> None:
-        """Let an owner with this policy meet the workers."""
+    def make_owner(self, policy: LoadPolicy) -> None:
+        """Create an owner with this policy, and add all workers."""
         self.scheduler = Scheduler(
             order=PriorityOrder(),
             placement=self.placement,
@@ -62,19 +62,19 @@
             started_at=0.0,
             policy=policy,
         )
-        for place in (NEAR, FAR, FARTHER):
+        for data_centre in (NEAR, FAR, FARTHER):
             for number in range(WORKERS):
-                self.add_worker_in(place, number)
+                self.add_worker_in(data_centre, number)
 
-    def add_worker_in(self, place: str, number: int) -> None:
-        name = f"{place}-{number}"
+    def add_worker_in(self, data_centre: str, number: int) -> None:
+        name = f"{data_centre}-{number}"
         view = WorkerView(
             name=name,
             service="floor",
             capacity=Resources(cpu=FULL, memory_mb=65536),
             labels=frozenset({f"rack-{name}"}),
-            is_near=place == NEAR,
-            data_centre=place,
+            is_near=data_centre == NEAR,
+            data_centre=data_centre,
         )
         self.scheduler.add_worker(view, now=10.0)
         self.report(name, FULL)
@@ -84,41 +84,41 @@
         report = RoomReport(seen=10**6, free=free, is_accepting=True)
         return self.scheduler.update_worker(name, report, now=now)
 
-    def set_room(self, now: float = 10.0, **cores: int) -> None:
-        """Report how many cores are free in each data centre, evenly on its workers."""
-        for place, free in cores.items():
+    def set_free_cores(self, now: float = 10.0, **cores: int) -> None:
+        """Report the free cores of each data centre, evenly divided among its workers."""
+        for data_centre, free in cores.items():
             for number in range(WORKERS):
-                self.report(f"{place}-{number}", 1000 * free // WORKERS, now=now)
+                self.report(f"{data_centre}-{number}", 1000 * free // WORKERS, now=now)
 
     def submit(self, *steps, now: float = 10.0) -> list[StartTask]:
         self.jobs += 1
         return get_starts(self.scheduler.submit(make_job(f"j{self.jobs}", *steps), now=now))
 
-    def count_places(self, starts: list[StartTask]) -> Counter[str]:
+    def count_by_data_centre(self, starts: list[StartTask]) -> Counter[str]:
         return Counter(start.worker.partition("-")[0] for start in starts)
 
 
 class WholeJobTests(BalanceTestCase):
-    def test_a_job_that_fits_stays_near(self) -> None:
-        self.set_room(austin=8, waco=16, dallas=16)
-        self.assertEqual({NEAR: 8}, self.count_places(self.submit(make_step(8))))
-
-    def test_a_job_crosses_the_border_whole(self) -> None:
-        self.set_room(austin=6, waco=12, dallas=4)
-        self.assertEqual({FAR: 8}, self.count_places(self.submit(make_step(8))))
-
-    def test_nothing_waits_while_there_is_room_anywhere(self) -> None:
-        self.set_room(austin=6, waco=2, dallas=4)
-        places = self.count_places(self.submit(make_step(10)))
-        self.assertEqual(10, places.total())
-        self.assertEqual(6, places[NEAR])
-
-    def test_later_steps_follow_their_job(self) -> None:
-        self.set_room(austin=2, waco=12, dallas=2)
+    def test_a_job_that_fits_stays_in_the_same_data_centre(self) -> None:
+        self.set_free_cores(austin=8, waco=16, dallas=16)
+        self.assertEqual({NEAR: 8}, self.count_by_data_centre(self.submit(make_step(8))))
+
+    def test_all_tasks_of_a_job_go_to_one_other_data_centre(self) -> None:
+        self.set_free_cores(austin=6, waco=12, dallas=4)
+        self.assertEqual({FAR: 8}, self.count_by_data_centre(self.submit(make_step(8))))
+
+    def test_no_task_waits_while_any_worker_has_free_capacity(self) -> None:
+        self.set_free_cores(austin=6, waco=2, dallas=4)
+        counts = self.count_by_data_centre(self.submit(make_step(10)))
+        self.assertEqual(10, counts.total())
+        self.assertEqual(6, counts[NEAR])
+
+    def test_later_steps_run_in_the_data_centre_of_the_job(self) -> None:
+        self.set_free_cores(austin=2, waco=12, dallas=2)
         starts = self.submit(make_step(6), make_step(2, after=(0,)))
-        self.set_room(austin=16, waco=12, dallas=16)
+        self.set_free_cores(austin=16, waco=12, dallas=16)
         later = [get_starts(self.end(start, EndReason.DONE)) for start in starts]
-        self.assertEqual({FAR: 2}, self.count_places(later[-1]))
+        self.assertEqual({FAR: 2}, self.count_by_data_centre(later[-1]))
 
     def test_a_job_goes_where_its_data_is(self) -> None:
         step = make_step(4, data_rack=f"rack-{FAR}-1")
@@ -126,80 +126,88 @@
         self.assertEqual([f"{FAR}-1"] * 4, [start.worker for start in starts])
 
 
-class WaveTests(BalanceTestCase):
-    """Demand rises and falls in each data centre, at its own time."""
+class PeakTests(BalanceTestCase):
+    """Demand peaks at different times in each data centre."""
 
     def submit_many(self, count: int, *, width: int = 2) -> Counter[str]:
-        places: Counter[str] = Counter()
+        counts: Counter[str] = Counter()
         for _ in range(count):
-            places += self.count_places(self.submit(make_step(width)))
-        return places
+            counts += self.count_by_data_centre(self.submit(make_step(width)))
+        return counts
 
-    def test_each_crest_spills_into_the_troughs_and_comes_back(self) -> None:
+    def test_work_spills_over_at_each_peak_and_returns(self) -> None:
         for _ in range(3):
-            self.set_room(austin=0, waco=16, dallas=1)
+            self.set_free_cores(austin=0, waco=16, dallas=1)
             self.assertEqual({FAR: 8}, self.submit_many(4))
-            self.set_room(austin=16, waco=1, dallas=16)
+            self.set_free_cores(austin=16, waco=1, dallas=16)
             self.assertEqual({NEAR: 8}, self.submit_many(4))
 
-    def test_what_spills_over_is_shared_by_those_that_are_alike(self) -> None:
-        self.set_room(austin=0, waco=16, dallas=16)
-        places = self.submit_many(8)
-        self.assertEqual(16, places.total())
-        self.assertGreater(min(places[FAR], places[FARTHER]), 0)
+    def test_data_centres_of_equal_cost_share_the_work(self) -> None:
+        self.set_free_cores(austin=0, waco=16, dallas=16)
+        counts = self.submit_many(8)
+        self.assertEqual(16, counts.total())
+        self.assertGreater(min(counts[FAR], counts[FARTHER]), 0)
 
-    def test_the_one_with_more_room_gets_more(self) -> None:
-        self.set_room(austin=0, waco=16, dallas=4)
-        places = self.submit_many(8)
-        self.assertGreater(places[FAR], places[FARTHER])
+    def test_a_data_centre_with_more_free_capacity_gets_more(self) -> None:
+        self.set_free_cores(austin=0, waco=16, dallas=4)
+        counts = self.submit_many(8)
+        self.assertGreater(counts[FAR], counts[FARTHER])
 
-    def test_work_that_waits_near_at_other_entries_counts(self) -> None:
-        """The room that is seen here is theirs: 16 cores for 8 core-seconds, at 0.1 s a task."""
-        self.tell(NEAR, core_s=8.0)
+    def test_work_queued_in_the_same_data_centre_counts(self) -> None:
+        """Other entries need the free capacity: 8 core-seconds on 16 cores, at 0.1 s a task."""
+        self.report_demand(NEAR, core_s=8.0)
         self.assertNotIn(NEAR, self.submit_many(2))
 
-    def test_work_that_waits_far_at_other_entries_counts(self) -> None:
-        self.set_room(austin=0, waco=16, dallas=16)
-        self.tell(FAR, core_s=8.0)
+    def test_work_queued_in_other_data_centres_counts(self) -> None:
+        self.set_free_cores(austin=0, waco=16, dallas=16)
+        self.report_demand(FAR, core_s=8.0)
         self.assertEqual({FARTHER: 16}, self.submit_many(8))
 
-    def test_old_and_absurd_words_and_those_of_lost_entries_do_not_count(self) -> None:
-        self.tell(NEAR, core_s=8.0, now=8.0)
-        self.tell(NEAR, core_s=float("nan"), entry="e2")
-        self.tell(NEAR, core_s=-8.0, entry="e3")
-        self.tell(NEAR, core_s=float("inf"), entry="e4")
-        self.tell(NEAR, core_s=8.0, entry="e5", priority=3)
-        self.tell(NEAR, core_s=8.0, entry="e6")
+    def test_old_and_invalid_reports_and_those_of_lost_entries_do_not_count(self) -> None:
+        self.report_demand(NEAR, core_s=8.0, now=8.0)
+        self.report_demand(NEAR, core_s=float("nan"), entry="e2")
+        self.report_demand(NEAR, core_s=-8.0, entry="e3")
+        self.report_demand(NEAR, core_s=float("inf"), entry="e4")
+        self.report_demand(NEAR, core_s=8.0, entry="e5", priority=3)
+        self.report_demand(NEAR, core_s=8.0, entry="e6")
         self.scheduler.forget_demand("e6")
         self.assertEqual({NEAR: 4}, self.submit_many(2))
 
-    def test_words_are_bounded(self) -> None:
-        words = tuple(self.make_word(NEAR, core_s=8.0, priority=row) for row in range(MAX_ROWS + 1))
-        self.assertFalse(self.scheduler.note_demand("many", words, now=10.0))
+    def test_the_size_and_number_of_reports_are_limited(self) -> None:
+        demand = tuple(
+            self.make_demand(NEAR, core_s=8.0, priority=row) for row in range(MAX_ROWS + 1)
+        )
+        self.assertFalse(self.scheduler.note_demand("many", demand, now=10.0))
         self.assertEqual({NEAR: 4}, self.submit_many(2))
         for number in range(2 * MAX_ENTRIES):
-            self.scheduler.note_demand(f"e{number}", words[1:], now=10.0)
+            self.scheduler.note_demand(f"e{number}", demand[1:], now=10.0)
         self.assertEqual(MAX_ENTRIES, len(self.scheduler.demand))
 
-    def test_a_word_fades_as_it_does_for_forecasts(self) -> None:
-        """It is 0.8 s old: of use to nobody after three pauses between renewals."""
-        self.tell(NEAR, core_s=8.0, now=9.2)
+    def test_an_expired_report_does_not_count(self) -> None:
+        """The report is 0.8 s old; it expires after three renewal intervals."""
+        self.report_demand(NEAR, core_s=8.0, now=9.2)
         self.assertEqual({NEAR: 4}, self.submit_many(2))
 
-    def test_without_shared_demand_nothing_is_believed(self) -> None:
-        self.begin(LoadPolicy())
-        self.tell(NEAR, core_s=8.0)
+    def test_reports_are_ignored_unless_enabled(self) -> None:
+        self.make_owner(LoadPolicy())
+        self.report_demand(NEAR, core_s=8.0)
         self.assertEqual({NEAR: 4}, self.submit_many(2))
 
-    def tell(
-        self, place: str, *, core_s: float, entry: str = "e1", priority: int = 0, now: float = 10.0
+    def report_demand(
+        self,
+        data_centre: str,
+        *,
+        core_s: float,
+        entry: str = "e1",
+        priority: int = 0,
+        now: float = 10.0,
     ) -> None:
-        word = self.make_word(place, core_s=core_s, priority=priority)
-        self.scheduler.note_demand(entry, (word,), now=now)
+        demand = self.make_demand(data_centre, core_s=core_s, priority=priority)
+        self.scheduler.note_demand(entry, (demand,), now=now)
 
-    def make_word(self, place: str, *, core_s: float, priority: int = 0) -> QueuedDemand:
+    def make_demand(self, data_centre: str, *, core_s: float, priority: int = 0) -> QueuedDemand:
         return QueuedDemand(
-            service="floor", priority=priority, data_centre=place, jobs=1, core_s=core_s
+            service="floor", priority=priority, data_centre=data_centre, jobs=1, core_s=core_s
         )
 
 
@@ -209,33 +217,39 @@
         self.spill_over = SpillOver(far_penalty=FAR_PENALTY)
 
     def choose(self, near: float | None, far: float | None) -> str | None:
-        ways = [(NEAR, near), (FAR, far)]
-        outlooks = [
-            DataCentreOption(data_centre=place, is_near=place == NEAR, cost=cost, wait=0.0, room=1)
-            for place, cost in ways
+        costs = [(NEAR, near), (FAR, far)]
+        options = [
+            DataCentreOption(
+                data_centre=data_centre,
+                is_near=data_centre == NEAR,
+                cost=cost,
+                wait=0.0,
+                free_cpu=1,
+            )
+            for data_centre, cost in costs
             if cost is not None
         ]
-        return self.spill_over.choose("a", "floor", outlooks, is_bound=False)
+        return self.spill_over.choose("a", "floor", options, is_bound=False)
 
-    def test_small_differences_do_not_swing(self) -> None:
-        turns = [self.choose(1.0 + FAR_PENALTY + 0.05 * (-1) ** n, 1.0) for n in range(10)]
-        self.assertEqual([NEAR] * 10, turns)
+    def test_small_differences_cause_no_oscillation(self) -> None:
+        chosen = [self.choose(1.0 + FAR_PENALTY + 0.05 * (-1) ** n, 1.0) for n in range(10)]
+        self.assertEqual([NEAR] * 10, chosen)
 
-    def test_it_turns_far_for_a_gain_and_back_without(self) -> None:
+    def test_work_spills_over_for_a_gain_and_returns_without_one(self) -> None:
         self.assertEqual(FAR, self.choose(1.0 + FAR_PENALTY + SWITCH_GAIN + 0.01, 1.0))
         self.assertEqual(FAR, self.choose(1.0 + FAR_PENALTY + 0.01, 1.0))
         self.assertEqual(NEAR, self.choose(1.0 + FAR_PENALTY - 0.01, 1.0))
         self.assertEqual(NEAR, self.choose(1.0 + FAR_PENALTY + 0.01, 1.0))
 
-    def test_what_is_there_is_used(self) -> None:
+    def test_the_only_data_centre_is_used(self) -> None:
         self.assertEqual(FAR, self.choose(None, 9.0))
         self.assertEqual(NEAR, self.choose(9.0, None))
         self.assertIsNone(self.choose(None, None))
 
 
 class DescriptionTests(BalanceTestCase):
-    def test_operators_see_where_jobs_go(self) -> None:
-        self.set_room(austin=0, waco=16, dallas=0)
+    def test_the_state_shows_where_jobs_go(self) -> None:
+        self.set_free_cores(austin=0, waco=16, dallas=0)
         self.submit(make_step(4, data_rack=f"rack-{FAR}-0"))
         self.submit(make_step(4))
         state = self.placement.describe()
@@ -243,31 +257,31 @@
         self.assertIn(f"rack-{FAR}-0", state["rack_loads"])
 
 
-class GoneTests(BalanceTestCase):
-    def test_an_evacuated_data_centre_is_left_and_used_again(self) -> None:
+class LostDataCentreTests(BalanceTestCase):
+    def test_an_evacuated_data_centre_is_avoided_and_used_again(self) -> None:
         self.scheduler.set_evacuated(frozenset({NEAR}), now=10.0)
-        self.assertNotIn(NEAR, self.count_places(self.submit(make_step(8))))
+        self.assertNotIn(NEAR, self.count_by_data_centre(self.submit(make_step(8))))
         self.scheduler.set_evacuated(frozenset(), now=11.0)
-        self.assertEqual({NEAR: 8}, self.count_places(self.submit(make_step(8))))
+        self.assertEqual({NEAR: 8}, self.count_by_data_centre(self.submit(make_step(8))))
 
-    def test_a_lost_data_centre_is_left(self) -> None:
+    def test_a_lost_data_centre_is_avoided(self) -> None:
         for number in range(WORKERS):
             self.scheduler.lose_worker(f"{NEAR}-{number}", now=10.0)
-        places = self.count_places(self.submit(make_step(8)))
-        self.assertEqual(1, len(places))
-        self.assertNotIn(NEAR, places)
+        counts = self.count_by_data_centre(self.submit(make_step(8)))
+        self.assertEqual(1, len(counts))
+        self.assertNotIn(NEAR, counts)
 
-    def test_a_job_whose_data_centre_goes_begins_anew_in_another(self) -> None:
-        self.set_room(austin=0, waco=16, dallas=0)
+    def test_a_job_whose_data_centre_is_evacuated_restarts_in_another(self) -> None:
+        self.set_free_cores(austin=0, waco=16, dallas=0)
         starts = self.submit(make_step(4))
-        self.set_room(austin=16, waco=16, dallas=16)
+        self.set_free_cores(austin=16, waco=16, dallas=16)
         self.scheduler.set_evacuated(frozenset({FAR}), now=10.0)
         again = [start for s in starts for start in get_starts(self.end(s, EndReason.STOPPED))]
-        self.assertEqual({NEAR: 4}, self.count_places(again))
+        self.assertEqual({NEAR: 4}, self.count_by_data_centre(again))
 
 
 class HotRackTests(BalanceTestCase):
-    """Most jobs have their data on one rack, and take three times as long elsewhere."""
+    """Most jobs have their data on one rack, and take three times as long on others."""
 
     remote_factor = 3.0
     hot = f"rack-{NEAR}-0"
@@ -276,29 +290,29 @@
         for _ in range(4):
             self.submit(make_step(1, data_rack=self.hot))
 
-    def test_room_is_kept_there_while_there_is_room_elsewhere(self) -> None:
+    def test_capacity_is_kept_there_while_other_racks_have_some(self) -> None:
         self.make_hot()
         starts = self.submit(make_step(4))
         self.assertNotIn(f"{NEAR}-0", {start.worker for start in starts})
 
-    def test_those_that_want_it_get_it(self) -> None:
+    def test_tasks_that_need_the_rack_get_it(self) -> None:
         self.make_hot()
         starts = self.submit(make_step(4, data_rack=self.hot))
         self.assertEqual({f"{NEAR}-0"}, {start.worker for start in starts})
 
-    def test_nothing_waits_for_a_rack_to_be_kept(self) -> None:
+    def test_no_task_waits_to_keep_a_rack_free(self) -> None:
         self.make_hot()
-        self.set_room(austin=8, waco=0, dallas=0)
+        self.set_free_cores(austin=8, waco=0, dallas=0)
         self.assertEqual(8, len(self.submit(make_step(8))))
 
-    def test_it_fades(self) -> None:
+    def test_the_demand_decays(self) -> None:
         self.make_hot()
-        self.set_room(austin=16, waco=16, dallas=16)
+        self.set_free_cores(austin=16, waco=16, dallas=16)
         workers = list(self.scheduler.workers.values())
         loads = self.placement._racks.get_loads("floor", workers, now=10.0 + 40 * HALF_LIFE_S)
         self.assertEqual({}, loads)
 
-    def test_racks_that_callers_name_are_bounded(self) -> None:
+    def test_the_number_of_racks_is_limited(self) -> None:
         demand = RackDemand()
         for number in range(MAX_RACKS + 50):
             request = make_job(f"j{number}", make_step(1, data_rack=f"r{number}"))
@@ -307,10 +321,10 @@
 
 
 class FullWorkersTests(BalanceTestCase):
-    """Overload: many jobs wait, and the only room is on a worker that suits none of them."""
+    """Many jobs wait, and the only worker with free capacity is eligible for none of them."""
 
-    def test_jobs_that_find_no_suiting_room_are_not_planned(self) -> None:
-        self.set_room(austin=0, waco=0, dallas=0)
+    def test_jobs_without_an_eligible_worker_are_not_planned(self) -> None:
+        self.set_free_cores(austin=0, waco=0, dallas=0)
         label = f"rack-{NEAR}-0"
         for _ in range(20):
             self.submit(make_step(4, label=label))
@@ -320,18 +334,18 @@
             self.report(f"{NEAR}-0", 1000)
             self.assertEqual(1, plan.call_count)
 
-    def test_full_workers_are_looked_at_once_a_round(self) -> None:
-        self.set_room(austin=0, waco=0, dallas=0)
+    def test_full_workers_are_not_checked_for_each_job(self) -> None:
+        self.set_free_cores(austin=0, waco=0, dallas=0)
         for _ in range(20):
             self.submit(make_step(4, label=f"rack-{NEAR}-0"))
-        with mock.patch.object(choices, "_has_room", wraps=choices._has_room) as has_room:
+        with mock.patch.object(choices, "_has_room", wraps=choices._has_room) as has_capacity:
             self.report(f"{FAR}-0", FULL)
-        looked_at = {call.args[2].name for call in has_room.call_args_list}
-        self.assertEqual({f"{FAR}-0"}, looked_at)
-        self.assertEqual(20, has_room.call_count, "once for each job, whose tasks are alike")
+        checked = {call.args[2].name for call in has_capacity.call_args_list}
+        self.assertEqual({f"{FAR}-0"}, checked)
+        self.assertEqual(20, has_capacity.call_count, "once for each job, whose tasks are alike")
 
-    def test_a_task_that_avoids_the_room_keeps_none_of_its_step_from_it(self) -> None:
-        self.set_room(austin=0, waco=0, dallas=0)
+    def test_other_tasks_of_a_step_may_use_a_worker_that_one_task_avoids(self) -> None:
+        self.set_free_cores(austin=0, waco=0, dallas=0)
         self.submit(make_step(2))
         (job,) = self.scheduler.open_jobs.values()
         first, second = job.waiting
--- a/tests/core/scheduling/test_forecast_properties.py
+++ b/tests/core/scheduling/test_forecast_properties.py
@@ -1,7 +1,7 @@
-"""Whatever is told of load, a refused job has not run, and no worker with room could serve it.
+"""Property tests: a refused job has not run, and no worker with free capacity could serve it.
 
-The model is that of :mod:`tests.core.scheduling.test_properties`, with an owner that makes
-forecasts: agents and peers tell anything, and workers are distrusted as slow at any time.
+The model is that of :mod:`tests.core.scheduling.test_properties`, with forecasts, arbitrary reports
+from agents and peers, and workers that are considered slow at any time.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ForecastingOwnerMachine(OwnerMachine):
-    """Drives a scheduler that refuses by forecast."""
+    """Drives a scheduler that refuses jobs by forecast."""
 
     policy = LoadPolicy(forecasts=True)
 
