--- a/dalemast/core/scheduling/actions.py
+++ b/dalemast/core/scheduling/actions.py
@@ -91,8 +91,8 @@
 class StartTask:
     """Start a task on a worker. ``number`` counts the owner's starts.
 
-    ``spare_s`` is how much later the task could be restarted, in seconds from now, with its job
-    still on time; None if it must not be preempted.
+    ``spare_s`` is for how many seconds from now the task can still be restarted with its job on
+    time; None if it must not be preempted.
     """
 
     worker: str
--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -67,11 +67,16 @@
         return frozenset(self._spilling)
 
     def choose(
-        self, job_id: str, service: str, candidates: Iterable[DataCentreOption], *, is_bound: bool
+        self,
+        job_id: str,
+        service: str,
+        candidates: Iterable[DataCentreOption],
+        *,
+        needs_rack_data: bool,
     ) -> str | None:
         """Return the data centre for a job, or None if there is none.
 
-        ``is_bound`` means that the job needs the data of a rack. It is then placed by its own costs
+        With ``needs_rack_data`` a rack holds data of the job. It is then placed by its own costs,
         and does not change where other jobs go.
         """
         options = list(candidates)
@@ -81,7 +86,9 @@
         other_cost = min(
             (self._get_cost(option) for option in options if not option.is_near), default=None
         )
-        is_spilling = self._update_spilling(service, own_cost, other_cost, is_bound=is_bound)
+        is_spilling = self._update_spilling(
+            service, own_cost, other_cost, needs_rack_data=needs_rack_data
+        )
         chosen = [option for option in options if option.is_near is not is_spilling]
         if not chosen:
             return None
@@ -95,12 +102,17 @@
         return option.cost + option.wait + (0.0 if option.is_near else self._far_penalty)
 
     def _update_spilling(
-        self, service: str, own_cost: float | None, other_cost: float | None, *, is_bound: bool
+        self,
+        service: str,
+        own_cost: float | None,
+        other_cost: float | None,
+        *,
+        needs_rack_data: bool,
     ) -> bool:
         """Return whether a job goes to another data centre, and store it for the next jobs."""
         if own_cost is None or other_cost is None:
             return own_cost is None
-        if is_bound:
+        if needs_rack_data:
             return other_cost < own_cost
         was_spilling = service in self._spilling
         is_spilling = other_cost < own_cost if was_spilling else other_cost + SWITCH_GAIN < own_cost
@@ -162,9 +174,9 @@
             )
             for data_centre, members in by_data_centre.items()
         ]
-        is_bound = any(step.data_rack for step in job.request.steps)
+        needs_rack_data = any(step.data_rack for step in job.request.steps)
         job.data_centre = self._spill_over.choose(
-            job.request.id, service, options, is_bound=is_bound
+            job.request.id, service, options, needs_rack_data=needs_rack_data
         )
         if job.data_centre is not None:
             self._planned[job.data_centre] += 1
@@ -196,7 +208,7 @@
         wait_s = waiting_core_s / cores if cores > 0 else 0.0
         if missing:
             wait_s += _expect_wait_s(step.resources, views, missing, expected_s, now)
-            # Tasks that don't fit are started in another data centre if it has free capacity.
+            # Tasks that don't fit start in another data centre while it has free capacity.
             costs.append(SPLIT_COST + options[0][0])
         return DataCentreOption(
             data_centre=data_centre,
--- a/dalemast/core/scheduling/capacity.py
+++ b/dalemast/core/scheduling/capacity.py
@@ -87,8 +87,8 @@
                 # It may have been released since, and taken by another owner.
                 continue
             cpu = min(max(row.cpu, 0), left)
-            # The first step is a single end; each later one may combine several, reported at the
-            # time of the last.
+            # The first step is the end of a single run; a later one may combine several runs, and
+            # is reported with the time of the last end.
             steps.append(CapacityStep(min(before_s, last_s), last_s, cpu))
             before_s = last_s
             left -= cpu
@@ -132,7 +132,7 @@
 
     @property
     def known_share(self) -> float:
-        """The share of the capacity in use whose release time is known."""
+        """The share of that capacity whose release time is known."""
         return self._known_share
 
     def get_single_worker_start_s(self, cpu: int) -> float:
--- a/dalemast/core/scheduling/forecasts.py
+++ b/dalemast/core/scheduling/forecasts.py
@@ -134,8 +134,8 @@
         min_cpu = min(task.step.resources.cpu for task in job.waiting)
         ahead = self._summarize_ahead(job, excluded, now)
         elsewhere_core_s = self._get_elsewhere(job, now)
-        # Other entries report core-seconds only. Divided by the weighted mean run time they give
-        # the fewest cores that they can stand for.
+        # Other entries report core-seconds only. Dividing by the weighted mean run time gives a
+        # lower bound on the number of cores.
         cores = ahead.cores + elsewhere_core_s / ahead.run_s
         begin_s = timeline.get_single_worker_start_s(min_cpu)
         if cores:
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -229,7 +229,7 @@
             for data_centre, cost in costs
             if cost is not None
         ]
-        return self.spill_over.choose("a", "floor", options, is_bound=False)
+        return self.spill_over.choose("a", "floor", options, needs_rack_data=False)
 
     def test_small_differences_cause_no_oscillation(self) -> None:
         chosen = [self.choose(1.0 + FAR_PENALTY + 0.05 * (-1) ** n, 1.0) for n in range(10)]
--- a/tests/core/scheduling/test_capacity.py
+++ b/tests/core/scheduling/test_capacity.py
@@ -28,8 +28,8 @@
         labels=frozenset(),
         is_near=True,
     )
-    worker = Resources(cpu=free, memory_mb=65536)
-    view.update(RoomReport(seen=0, free=worker, is_accepting=True), now=reported_at)
+    resources = Resources(cpu=free, memory_mb=65536)
+    view.update(RoomReport(seen=0, free=resources, is_accepting=True), now=reported_at)
     view.coming = rows
     view.coming_told_at = reported_at
     return view
--- a/tests/core/scheduling/test_crashes.py
+++ b/tests/core/scheduling/test_crashes.py
@@ -247,8 +247,8 @@
         self.add_workers(2)
         (start,) = get_starts(self.submit("a"))
         row = CrashedTask(job_id="a", task=start.task, age_s=None)
-        told = {"now": 10.1, "is_seen": False, "is_hearsay": True}
-        self.assertEqual([], self.scheduler.note_crash(start.worker, [row], **told))
+        reports = {"now": 10.1, "is_seen": False, "is_hearsay": True}
+        self.assertEqual([], self.scheduler.note_crash(start.worker, [row], **reports))
         self.assertEqual({start.worker}, self.scheduler.get_busy_workers())
 
     def test_a_crash_of_a_task_that_the_job_does_not_have_changes_nothing(self) -> None:
@@ -341,9 +341,9 @@
         row = CrashedTask(job_id="a", task=TASK, age_s=None)
         for number in range(MAX_ENDS):
             self.scheduler.note_crash(f"w{number}", [row], now=9.0, is_seen=False)
-        told = self.scheduler.list_crashes()
+        reports = self.scheduler.list_crashes()
         self.make_owner()
-        for end, rows in told.items():
+        for end, rows in reports.items():
             self.scheduler.note_crash(
                 end.incarnation, rows, now=10.0, is_seen=end.is_observed, is_hearsay=True
             )
@@ -353,13 +353,13 @@
         self.assertIs(JobState.FAILED, finished.state)
 
     def test_reported_crashes_keep_ages_and_confirmation(self) -> None:
-        seen = CrashedTask(job_id="a", task=TASK, age_s=0.03)
+        confirmed = CrashedTask(job_id="a", task=TASK, age_s=0.03)
         late = CrashedTask(job_id="b", task=TASK, age_s=0.5, has_begun=False)
-        self.scheduler.note_crash("w1", [seen, late], now=9.0)
-        self.scheduler.note_crash("w2", [seen], now=9.0, is_seen=False)
-        told = self.scheduler.list_crashes().items()
-        rows_by_end = {(end.incarnation, end.is_observed): rows for end, rows in told}
-        self.assertEqual({("w1", True): [late, seen], ("w2", False): [seen]}, rows_by_end)
+        self.scheduler.note_crash("w1", [confirmed, late], now=9.0)
+        self.scheduler.note_crash("w2", [confirmed], now=9.0, is_seen=False)
+        reports = self.scheduler.list_crashes().items()
+        rows_by_end = {(end.incarnation, end.is_observed): rows for end, rows in reports}
+        self.assertEqual({("w1", True): [late, confirmed], ("w2", False): [confirmed]}, rows_by_end)
 
     def test_the_number_of_reported_jobs_is_limited(self) -> None:
         for number in range(2 * MAX_REPORTED_JOBS):
--- a/tests/core/scheduling/test_demand.py
+++ b/tests/core/scheduling/test_demand.py
@@ -223,7 +223,7 @@
     policy = LoadPolicy(shares_demand=True)
 
     def test_a_job_with_an_absurd_run_time_does_not_invalidate_the_report(self) -> None:
-        self.scheduler.submit(make_job("usual"), now=NOW)
+        self.scheduler.submit(make_job("normal"), now=NOW)
         for number, estimate_s in enumerate((math.nan, math.inf, -math.inf, -1.0, 1e15)):
             job = make_job(f"j{number}", make_step(estimate_s=estimate_s))
             self.scheduler.submit(job, now=NOW)
--- a/tests/core/scheduling/test_forecast_properties.py
+++ b/tests/core/scheduling/test_forecast_properties.py
@@ -65,7 +65,7 @@
 
     @rule(jobs=st.integers(2, 6), seconds=st.floats(0.01, 0.4))
     def burst(self, jobs: int, seconds: float) -> None:
-        """More arrives than there is room for, and the owner looks again before all is late."""
+        """Submit more jobs than can start, and let time pass before all of them are late."""
         for _ in range(jobs):
             self.submit(4)
         self.pass_time(seconds)
--- a/tests/core/scheduling/test_speed_bounds.py
+++ b/tests/core/scheduling/test_speed_bounds.py
@@ -83,22 +83,22 @@
     def setUp(self) -> None:
         super().setUp()
         self.fast = make_kind("fast", 0.625, cpu=0)
-        self.usual = make_kind("usual", 1.0, cpu=0)
+        self.normal = make_kind("normal", 1.0, cpu=0)
         self.slow = make_kind("slow", 1.67)
 
     def test_a_slow_worker_serves_jobs_with_enough_slack(self) -> None:
-        workers = self.fast, self.usual, self.slow
+        workers = self.fast, self.normal, self.slow
         self.assertEqual("slow", self.choose(make_sized_job(0.1), *workers))
         self.assertEqual("slow", self.choose(make_sized_job(0.34), *workers))
         self.assertIsNone(self.choose(make_sized_job(1.52), *workers))
 
     def test_slow_workers_are_excluded_after_a_wait(self) -> None:
-        workers = self.fast, self.usual, self.slow
+        workers = self.fast, self.normal, self.slow
         self.assertIsNone(self.choose(make_sized_job(0.34), *workers, now=NOW + 0.03))
 
     def test_a_late_start_is_preferred_to_a_refusal_at_the_latest_start(self) -> None:
         job = make_sized_job(1.52)
-        workers = self.fast, self.usual, self.slow
+        workers = self.fast, self.normal, self.slow
         soon = job.latest_start - 0.05
         self.assertEqual("slow", self.choose(job, *workers, now=soon))
 
@@ -113,10 +113,10 @@
     def test_a_worker_far_from_the_data_is_slower(self) -> None:
         step = make_step(estimate_s=0.1, data_rack="r1")
         job = make_sized_job(0.1, step)
-        self.assertIsNone(self.choose(job, self.usual, self.slow))
+        self.assertIsNone(self.choose(job, self.normal, self.slow))
 
     def test_a_worker_that_has_become_slow_is_excluded(self) -> None:
         degraded = make_kind("degraded", 1.0)
         degraded.learn_slowness(4.0, now=NOW, weight=1.0)
-        self.assertIsNone(self.choose(make_sized_job(0.1), self.usual, degraded))
+        self.assertIsNone(self.choose(make_sized_job(0.1), self.normal, degraded))
         self.assertEqual("slow", self.choose(make_sized_job(0.1), degraded, self.slow))
