--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -30,7 +30,7 @@
     make_queue,
     make_step,
 )
-from tests.core.scheduling.test_capacity_requests import get_questions, make_report
+from tests.core.scheduling.test_capacity_requests import get_requests, make_report
 
 
 URGENT = make_queue(name="switches", priority=0)
@@ -71,7 +71,7 @@
 
     def tick_for_preemption_requests(self, *, now: float) -> list[RequestCapacity]:
         """Return the capacity requests that allow preemption."""
-        requests = get_questions(self.scheduler.tick(now=now))
+        requests = get_requests(self.scheduler.tick(now=now))
         return [request for request in requests if request.request and request.request.preempts_from]
 
     def report_free(self, start: StartTask, *, now: float) -> list[Action]:
@@ -89,7 +89,7 @@
 
     def test_preemption_is_requested_only_after_a_wait(self) -> None:
         self.submit_long()
-        self.assertEqual([], [a for a in get_questions(self.submit_urgent()) if _preempts(a)])
+        self.assertEqual([], [a for a in get_requests(self.submit_urgent()) if _preempts(a)])
         self.assertEqual([], self.tick_for_preemption_requests(now=10.005))
 
     def test_a_request_is_not_repeated_before_the_stops_can_be_done(self) -> None:
