--- a/dalemast/core/scheduling/actions.py
+++ b/dalemast/core/scheduling/actions.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 import enum
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.crashes import Crash
 from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.forecasts import Forecast
 from dalemast.core.workloads import JobRequest, TaskKey
-from dataclasses import dataclass
-
 
 __all__ = [
     "Action",
@@ -91,8 +91,8 @@
 class StartTask:
     """Start a task on a worker. ``number`` counts the owner's starts.
 
-    ``restart_slack_s`` is for how many seconds from now the task can still be restarted with its job on
-    time; None if it must not be preempted.
+    ``restart_slack_s`` is for how many seconds from now the task can still be restarted with its
+    job on time; None if it must not be preempted.
     """
 
     worker: str
--- a/dalemast/core/scheduling/balance.py
+++ b/dalemast/core/scheduling/balance.py
@@ -10,9 +10,11 @@
 import math
 from collections import Counter
 from collections.abc import Iterable
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.demand import DemandTracker
 from dalemast.core.scheduling.estimates import RunTimes
-from dalemast.core.scheduling.jobs import Job, START_MARGIN
+from dalemast.core.scheduling.jobs import START_MARGIN, Job
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.scheduling.racks import RackDemand
 from dalemast.core.scheduling.workers import WorkerView
@@ -21,8 +23,6 @@
     Resources,
     StepRequest,
 )
-from dataclasses import dataclass
-
 
 __all__ = ["BalancedPlacement", "DataCentreOption", "SpillOver"]
 
--- a/dalemast/core/scheduling/base.py
+++ b/dalemast/core/scheduling/base.py
@@ -4,13 +4,13 @@
 
 import abc
 from collections.abc import Iterable
+
 from dalemast.core.scheduling.demand import DemandTracker
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import Job
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import JobRequest, StepRequest
 
-
 __all__ = ["BaseOrder", "BasePlacement"]
 
 
--- a/dalemast/core/scheduling/capacity.py
+++ b/dalemast/core/scheduling/capacity.py
@@ -11,9 +11,9 @@
 import itertools
 import math
 from collections.abc import Iterable, Sequence
-from dalemast.core.scheduling.workers import WorkerView
 from typing import NamedTuple
 
+from dalemast.core.scheduling.workers import WorkerView
 
 __all__ = [
     "OwnRun",
--- a/dalemast/core/scheduling/choices.py
+++ b/dalemast/core/scheduling/choices.py
@@ -4,15 +4,15 @@
 
 from collections import Counter
 from collections.abc import Mapping
+from statistics import median_low
+from types import MappingProxyType
+
 from dalemast.core.scheduling.base import BasePlacement
 from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.jobs import Job, Task
 from dalemast.core.scheduling.speed_bounds import get_max_slowness, get_slowness_bound
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Resources
-from statistics import median_low
-from types import MappingProxyType
-
 
 __all__ = ["ChoiceRound", "WorkerChoice"]
 
--- a/dalemast/core/scheduling/departures.py
+++ b/dalemast/core/scheduling/departures.py
@@ -9,6 +9,8 @@
 import enum
 import math
 from collections.abc import Mapping
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.actions import (
     Action,
     RunMoved,
@@ -18,8 +20,8 @@
 from dalemast.core.scheduling.choices import WorkerChoice
 from dalemast.core.scheduling.estimates import RunTimes
 from dalemast.core.scheduling.jobs import (
-    Job,
     LATE_FACTOR,
+    Job,
     Task,
     TaskPhase,
 )
@@ -30,8 +32,6 @@
     StepRequest,
     TaskKey,
 )
-from dataclasses import dataclass
-
 
 __all__ = ["DepartureMoves", "is_plausible"]
 
--- a/dalemast/core/scheduling/dispatching.py
+++ b/dalemast/core/scheduling/dispatching.py
@@ -7,6 +7,7 @@
 
 import itertools
 from collections.abc import Iterable, Mapping
+
 from dalemast.core.scheduling.actions import Action, StartTask
 from dalemast.core.scheduling.base import BaseOrder, BasePlacement
 from dalemast.core.scheduling.capacity_requests import CapacityRequests
@@ -16,7 +17,6 @@
 from dalemast.core.scheduling.preemption import Preemption
 from dalemast.core.scheduling.workers import WorkerView
 
-
 __all__ = ["Dispatcher"]
 
 
--- a/dalemast/core/scheduling/refusals.py
+++ b/dalemast/core/scheduling/refusals.py
@@ -4,20 +4,20 @@
 
 from collections import Counter
 from collections.abc import Collection, Mapping
+from dataclasses import (
+    dataclass,
+    field,
+    replace,
+)
+
 from dalemast.core.scheduling.actions import JobRefused, RefusalCause
 from dalemast.core.scheduling.choices import ChoiceRound, WorkerChoice
 from dalemast.core.scheduling.exclusions import WorkerExclusions
 from dalemast.core.scheduling.forecasts import Forecast, Forecasts
-from dalemast.core.scheduling.jobs import Job, ON_WORKER
+from dalemast.core.scheduling.jobs import ON_WORKER, Job
 from dalemast.core.scheduling.retry_times import RETRY_AFTER_S, RetryTimes
 from dalemast.core.scheduling.workers import WorkerView
 from dalemast.core.workloads import Resources
-from dataclasses import (
-    dataclass,
-    field,
-    replace,
-)
-
 
 __all__ = ["Refusals"]
 
--- a/dalemast/core/scheduling/scheduler.py
+++ b/dalemast/core/scheduling/scheduler.py
@@ -7,13 +7,15 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.actions import (
+    NEVER_STARTED,
     Action,
     CapacityRequest,
     EndReason,
     JobFinished,
     JobState,
-    NEVER_STARTED,
     RunPresumedOver,
     StopTask,
     TaskGivenUp,
@@ -23,8 +25,8 @@
 from dalemast.core.scheduling.choices import WorkerChoice
 from dalemast.core.scheduling.crashes import (
     Crash,
-    CrashRecords,
     CrashedTask,
+    CrashRecords,
 )
 from dalemast.core.scheduling.demand import DemandTracker, summarize_waiting
 from dalemast.core.scheduling.departures import DepartureMoves, is_plausible
@@ -33,15 +35,15 @@
 from dalemast.core.scheduling.forecasts import DemandElsewhere, Forecasts
 from dalemast.core.scheduling.infeasible import KnownWorkerKinds
 from dalemast.core.scheduling.jobs import (
-    Job,
     ON_WORKER,
     START_MARGIN,
+    Job,
     Task,
     TaskPhase,
 )
 from dalemast.core.scheduling.load import (
-    CapacityRelease,
     DEFAULT_LOAD_POLICY,
+    CapacityRelease,
     DepartureRisk,
     LoadPolicy,
     QueuedDemand,
@@ -71,8 +73,6 @@
     Resources,
     TaskKey,
 )
-from dataclasses import dataclass
-
 
 __all__ = ["Scheduler", "SchedulerLimits"]
 
--- a/dalemast/core/scheduling/workers.py
+++ b/dalemast/core/scheduling/workers.py
@@ -5,11 +5,11 @@
 
 from __future__ import annotations
 
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.capacity_releases import age_releases, are_releases_valid
 from dalemast.core.scheduling.load import CapacityRelease, WorkerSpeed
 from dalemast.core.workloads import Resources
-from dataclasses import dataclass
-
 
 __all__ = ["CapacityReport", "SlowRun", "WorkerView"]
 
--- a/dalemast/core/supervision/actions.py
+++ b/dalemast/core/supervision/actions.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from dalemast.core.scheduling.actions import EndReason
-from dalemast.core.supervision.base import RunId, StartRequest
 from dataclasses import dataclass
 
+from dalemast.core.scheduling.actions import EndReason
+from dalemast.core.supervision.base import RunId, StartRequest
 
 __all__ = [
     "Action",
--- a/dalemast/core/supervision/base.py
+++ b/dalemast/core/supervision/base.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import enum
-from dalemast.core.scheduling.actions import EndReason
-from dalemast.core.workloads import Resources, TaskKey
 from dataclasses import dataclass
 from typing import NamedTuple
 
+from dalemast.core.scheduling.actions import EndReason
+from dalemast.core.workloads import Resources, TaskKey
 
 __all__ = ["EndedRun", "ListedRun", "RunId", "StartOutcome", "StartRequest", "WorkerIncarnation"]
 
@@ -42,9 +42,9 @@
     """An owner's request to start a task. ``number`` counts that owner's starts.
 
     ``sent_at`` is the earliest time at which the owner may have sent it, by the agent's steady
-    clock in seconds. ``priority`` is the job's, 0 being the most urgent. ``restart_slack_s`` is for how
-    long after ``sent_at`` the task could restart with its job still on time, in seconds; None if
-    it must not be preempted.
+    clock in seconds. ``priority`` is the job's, 0 being the most urgent. ``restart_slack_s`` is for
+    how long after ``sent_at`` the task could restart with its job still on time, in seconds; None
+    if it must not be preempted.
     """
 
     owner: str
--- a/dalemast/core/supervision/capacity_releases.py
+++ b/dalemast/core/supervision/capacity_releases.py
@@ -7,6 +7,7 @@
 
 import math
 from collections.abc import Iterable
+
 from dalemast.core.scheduling.capacity_releases import MAX_STEPS
 from dalemast.core.scheduling.load import CapacityRelease
 from dalemast.core.supervision.runs import (
@@ -15,7 +16,6 @@
     RunPhase,
 )
 
-
 __all__ = ["list_releases"]
 
 TICKS_PER_S = 100
--- a/dalemast/core/supervision/capacity_reports.py
+++ b/dalemast/core/supervision/capacity_reports.py
@@ -9,8 +9,8 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dalemast.core.scheduling.actions import CapacityRequest
 
+from dalemast.core.scheduling.actions import CapacityRequest
 
 __all__ = [
     "CapacitySubscriber",
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -12,6 +12,8 @@
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.actions import CapacityRequest
 from dalemast.core.supervision.base import RunId
 from dalemast.core.supervision.runs import (
@@ -19,8 +21,6 @@
     Run,
     RunPhase,
 )
-from dataclasses import dataclass
-
 
 __all__ = ["PreemptionBudget", "PreemptionReservations", "VictimChoice", "get_lost_core_s"]
 
@@ -87,7 +87,9 @@
     capacity_cpu: int
     budget_core_s: float
 
-    def choose(self, runs: Iterable[Run], capacity_request: CapacityRequest, *, now: float) -> list[Run]:
+    def choose(
+        self, runs: Iterable[Run], capacity_request: CapacityRequest, *, now: float
+    ) -> list[Run]:
         """Return the runs that together free enough capacity for one task, or none.
 
         Runs that lose the least work are chosen first.
--- a/dalemast/core/supervision/supervisor.py
+++ b/dalemast/core/supervision/supervisor.py
@@ -11,10 +11,12 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
+from dataclasses import dataclass
+
 from dalemast.core.scheduling.actions import CapacityRequest, EndReason
 from dalemast.core.scheduling.load import (
-    CapacityRelease,
     DEFAULT_LOAD_POLICY,
+    CapacityRelease,
     LoadPolicy,
 )
 from dalemast.core.supervision.acceptance import Acceptance
@@ -55,8 +57,6 @@
 from dalemast.core.supervision.slow import get_slow_report
 from dalemast.core.supervision.speeds import SpeedRecord
 from dalemast.core.workloads import Resources
-from dataclasses import dataclass
-
 
 __all__ = ["Supervisor", "SupervisorLimits"]
 
--- a/tests/core/scheduling/test_balance.py
+++ b/tests/core/scheduling/test_balance.py
@@ -3,6 +3,10 @@
 from __future__ import annotations
 
 from collections import Counter
+from unittest import mock
+
+import testtools
+
 from dalemast.core.scheduling import (
     BalancedPlacement,
     CapacityReport,
@@ -17,8 +21,8 @@
     choices,
 )
 from dalemast.core.scheduling.balance import (
-    DataCentreOption,
     SWITCH_GAIN,
+    DataCentreOption,
     SpillOver,
 )
 from dalemast.core.scheduling.demand import MAX_ENTRIES, MAX_ROWS
@@ -36,10 +40,6 @@
     make_job,
     make_step,
 )
-from unittest import mock
-
-import testtools
-
 
 FAR_PENALTY = 0.08
 NEAR, FAR, FARTHER = "austin", "waco", "dallas"
@@ -346,7 +346,9 @@
         self.set_free_cores(austin=0, waco=0, dallas=0)
         for _ in range(20):
             self.submit(make_step(4, label=f"rack-{NEAR}-0"))
-        with mock.patch.object(choices, "_has_capacity", wraps=choices._has_capacity) as has_capacity:
+        with mock.patch.object(
+            choices, "_has_capacity", wraps=choices._has_capacity
+        ) as has_capacity:
             self.report(f"{FAR}-0", FULL)
         checked = {call.args[2].name for call in has_capacity.call_args_list}
         self.assertEqual({f"{FAR}-0"}, checked)
--- a/tests/core/scheduling/test_capacity.py
+++ b/tests/core/scheduling/test_capacity.py
@@ -4,6 +4,8 @@
 
 import math
 
+from testtools import TestCase
+
 from dalemast.core.scheduling import (
     CapacityRelease,
     CapacityReport,
@@ -17,8 +19,6 @@
     get_worker_availability,
 )
 from dalemast.core.workloads import Resources
-from testtools import TestCase
-
 
 NOW = 10.0
 CPU = 4000
--- a/tests/core/scheduling/test_crashes.py
+++ b/tests/core/scheduling/test_crashes.py
@@ -3,6 +3,14 @@
 from __future__ import annotations
 
 import testtools
+from hypothesis import (
+    given,
+    settings,
+)
+from hypothesis import (
+    strategies as st,
+)
+
 from dalemast.core.scheduling import (
     Action,
     CapacityReport,
@@ -19,20 +27,15 @@
     TaskGivenUp,
 )
 from dalemast.core.scheduling.crashes import (
-    CrashRecords,
     MAX_CRASHES,
     MAX_ENDED_JOBS,
     MAX_ENDS,
     MAX_REPORTED_JOBS,
     RETENTION_S,
     SAME_AGE_S,
+    CrashRecords,
 )
 from dalemast.core.workloads import Resources, TaskKey
-from hypothesis import (
-    given,
-    settings,
-    strategies as st,
-)
 from tests.core.scheduling.base import (
     LOST_RUN_S,
     SchedulerTestCase,
@@ -43,7 +46,6 @@
     make_step,
 )
 
-
 TASK = TaskKey(0, 0)
 CRASHES = st.builds(
     Crash,
--- a/tests/core/scheduling/test_demand_reports.py
+++ b/tests/core/scheduling/test_demand_reports.py
@@ -8,8 +8,8 @@
 
 from dalemast.core.scheduling import QueuedDemand
 from dalemast.core.scheduling.demand_reports import (
-    DemandSubscriber,
     REPORTS_PER_S,
+    DemandSubscriber,
     get_demand_report_interval_s,
 )
 
--- a/tests/core/scheduling/test_forecasts.py
+++ b/tests/core/scheduling/test_forecasts.py
@@ -117,7 +117,9 @@
         self.fill()
         self.fill_worker("w3", in_s=0.03)
         self.assertIsNone(self.arrive(make_urgent("a")))
-        report = CapacityReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
+        report = CapacityReport(
+            seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True
+        )
         (start,) = get_starts(self.scheduler.update_worker("w3", report, now=NOW + 0.03))
         self.assertEqual("a", start.job.id)
 
@@ -299,7 +301,9 @@
     def test_capacity_that_is_released_early_is_used_by_the_next_job(self) -> None:
         self.fill()
         self.assertIsNotNone(self.arrive(make_urgent("a")))
-        report = CapacityReport(seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True)
+        report = CapacityReport(
+            seen=0, free=Resources(cpu=4000, memory_mb=65536), is_accepting=True
+        )
         self.scheduler.update_worker("w0", report, now=NOW + 0.05)
         (start,) = get_starts(self.scheduler.submit(make_urgent("b"), now=NOW + 0.05))
         self.assertEqual("w0", start.worker)
--- a/tests/core/scheduling/test_preemption.py
+++ b/tests/core/scheduling/test_preemption.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from math import inf
+
 from dalemast.core.scheduling import (
     Action,
     EndReason,
@@ -18,7 +20,6 @@
 from dalemast.core.scheduling.jobs import TaskPhase
 from dalemast.core.scheduling.placements import FastestPlacement
 from dalemast.core.workloads import TaskKey
-from math import inf
 from tests.core.scheduling.base import (
     LOST_RUN_S,
     RUN_S,
@@ -32,7 +33,6 @@
 )
 from tests.core.scheduling.test_capacity_requests import get_requests, make_report
 
-
 URGENT = make_queue(name="switches", priority=0)
 MIDDLE = make_queue(name="confirmations", priority=1)
 LONG = make_queue(name="crews", priority=2)
@@ -72,7 +72,9 @@
     def tick_for_preemption_requests(self, *, now: float) -> list[RequestCapacity]:
         """Return the capacity requests that allow preemption."""
         requests = get_requests(self.scheduler.tick(now=now))
-        return [request for request in requests if request.request and request.request.preempts_from]
+        return [
+            request for request in requests if request.request and request.request.preempts_from
+        ]
 
     def report_free(self, start: StartTask, *, now: float) -> list[Action]:
         report = make_report(1000, seen=start.number)
--- a/tests/core/scheduling/test_speeds.py
+++ b/tests/core/scheduling/test_speeds.py
@@ -23,9 +23,9 @@
 )
 from dalemast.core.scheduling.choices import MAX_RELATIVE_SLOWNESS
 from dalemast.core.scheduling.speeds import (
-    KnownSpeeds,
     MAX_KEPT_REPORTS,
     REFRESH_INTERVAL_S,
+    KnownSpeeds,
 )
 from dalemast.core.supervision import SpeedRecord
 from dalemast.core.supervision.runs import DECLARED_ERROR
--- a/tests/core/supervision/test_capacity_reports.py
+++ b/tests/core/supervision/test_capacity_reports.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
+from testtools import TestCase
+
 from dalemast.core.scheduling import CapacityRequest
 from dalemast.core.supervision import (
     CapacitySubscriber,
     find_most_urgent,
     get_capacity_report_interval_s,
 )
-from testtools import TestCase
-
 
 INTERVAL_S = 0.5
 
--- a/tests/core/supervision/test_preemption.py
+++ b/tests/core/supervision/test_preemption.py
@@ -2,6 +2,10 @@
 
 from __future__ import annotations
 
+from math import inf, nan
+
+import testtools
+
 from dalemast.core.scheduling import CapacityRequest, EndReason
 from dalemast.core.supervision import (
     Action,
@@ -25,10 +29,6 @@
     MAX_RESERVATION_S,
 )
 from dalemast.core.workloads import Resources, TaskKey
-from math import inf, nan
-
-import testtools
-
 
 STOP_S = 0.05
 LONG_S = 1.8
