--- a/dalemast/fleet/entry/job_tracker.py
+++ b/dalemast/fleet/entry/job_tracker.py
@@ -1,4 +1,4 @@
-"""Where a job is from its arrival at this entry until nothing of it runs any more."""
+"""Tracks each job from its arrival at this entry until none of its runs is left."""
 
 from __future__ import annotations
 
@@ -33,56 +33,58 @@
 __all__ = ["ClaimManager", "JobTracker"]
 
 CLAIM_RETRY_S = 0.04
-"""Pause between two tries for an id that another owner is giving up; stops take up to 50 ms."""
+"""Pause between two attempts to claim an id that another owner is about to release."""
 CLAIM_WAIT_S = 1.5
-"""How long an id that is held elsewhere is waited for: its owner's runs end within the time of
-:attr:`FleetTimes.lost_run_s`."""
-STOOD_STILL = "the entry stood still"
-STOOD_STILL_RETRY_S = 0.1
-"""When the caller of a job that waited meanwhile may come back."""
-CUT_OFF = "the entry is cut off"
-CUT_OFF_RETRY_S = 0.1
-"""When the caller of a job that waits here may come back, on a new connection: the balancer sends
-it elsewhere as soon as this entry says that it is not ready."""
-UNCONFIRMED = "nobody could say whether its id is free"
+"""How long to retry the claim of an id that is held elsewhere. Longer than
+:attr:`FleetTimes.lost_run_s`, within which the runs of the previous owner end."""
+# The causes appear in logs, metric names and responses to callers.
+PAUSED_CAUSE = "the entry stood still"
+PAUSED_RETRY_S = 0.1
+"""Retry delay for callers whose queued job was rejected after a pause of this process."""
+ISOLATED_CAUSE = "the entry is cut off"
+ISOLATED_RETRY_S = 0.1
+"""Retry delay for callers whose queued job was rejected because this entry is isolated. The load
+balancer routes their new connections to another entry once this one is not ready."""
+UNCONFIRMED_CAUSE = "nobody could say whether its id is free"
 UNCONFIRMED_RETRY_S = 0.1
-"""When the caller of such a job may come back; it has waited for :data:`CLAIM_PATIENCE_S`."""
+"""Retry delay for callers whose job id could not be confirmed within :data:`CLAIM_WAIT_S`."""
 
 
 class ClaimManager(Protocol):
-    """Claims and releases ids."""
+    """Claims and releases job ids."""
 
     async def claim(self, job_id: str) -> Granted | Held:
-        """Claim an id."""
+        """Claim an id for this entry."""
 
     def release(self, job_id: str) -> None:
-        """Free an id."""
+        """Release an id of this entry."""
 
 
 class TrackedJob:
-    """A job and whoever waits for it."""
+    """An open job and the future on which its caller waits."""
 
     def __init__(self, *, request: JobRequest, arrived_at: float) -> None:
         self.request = request
         self.arrived_at = arrived_at
-        self.answer: asyncio.Future[JobOutcome] = asyncio.get_running_loop().create_future()
+        self.outcome: asyncio.Future[JobOutcome] = asyncio.get_running_loop().create_future()
         self.is_submitted = False
         self.is_overdue = False
-        """Whether it was logged that the caller's patience is over."""
+        """Whether it was logged that the caller's timeout has passed."""
         self.submitted_at = arrived_at
-        """When the id was claimed and the scheduler took the job on."""
+        """When the id was granted and the job passed to the scheduler."""
 
     def resolve(self, outcome: JobOutcome) -> None:
-        """Answer whoever waits, once."""
-        if not self.answer.done():
-            self.answer.set_result(outcome)
+        """Set the outcome for the waiting caller, unless it is set already."""
+        if not self.outcome.done():
+            self.outcome.set_result(outcome)
 
 
 class JobTracker:
-    """The open jobs of one entry.
+    """Tracks the open jobs of one entry.
 
-    ``check_pause`` finds out whether this process has just stood still, and lets it recover.
-    ``tell_unseen`` lets other entries know of a run that nobody saw end.
+    ``check_pause`` detects a pause of this process, starts the recovery from it, and returns
+    whether there was one. ``report_unobserved_end`` reports to other entries a run that is
+    presumed over although no agent observed its end.
     """
 
     def __init__(
@@ -96,7 +98,7 @@
         check_pause: Callable[[], bool],
         report_unobserved_end: Callable[[RunPresumedOver], None] = lambda action: None,
     ) -> None:
-        self._tell_unseen = report_unobserved_end
+        self._report_unobserved_end = report_unobserved_end
         self._scheduler = scheduler
         self._times = times
         self._metrics = metrics
@@ -105,80 +107,80 @@
         self._check_pause = check_pause
         self._claims: ClaimManager | None = None
         self._ticked_at = clock.monotonic()
-        self._standstills = 0
+        self._pause_count = 0
         self._open: dict[str, TrackedJob] = {}
-        self._endings = UnfinishedRuns(lost_run_s=times.lost_run_s, release=self._release)
+        self._unfinished_runs = UnfinishedRuns(lost_run_s=times.lost_run_s, release=self._release)
 
     def __len__(self) -> int:
         return len(self._open)
 
     def set_claims(self, claims: ClaimManager) -> None:
-        """Take who claims ids."""
+        """Set the manager that claims and releases job ids."""
         self._claims = claims
 
     def get_open_ids(self) -> list[str]:
-        """Return the ids that this entry was granted or is asking for."""
-        return [*self._open, *self._endings.job_ids]
+        """Return the ids that this entry has claimed or is claiming."""
+        return [*self._open, *self._unfinished_runs.job_ids]
 
     def get_claimed_ids(self) -> list[str]:
         """Return the ids that this entry was granted and has not released."""
         granted = [job_id for job_id, job in self._open.items() if job.is_submitted]
-        return [*granted, *self._endings.job_ids]
+        return [*granted, *self._unfinished_runs.job_ids]
 
     def has_open(self, job_id: str) -> bool:
-        """Whether this entry was granted an id or is asking for it."""
-        return job_id in self._open or job_id in self._endings
+        """Return whether this entry has claimed an id or is claiming it."""
+        return job_id in self._open or job_id in self._unfinished_runs
 
     def is_active(self, job_id: str) -> bool:
-        """Whether a job that was granted is being run here, and not being stopped."""
+        """Return whether a job has its id granted and is not being stopped."""
         job = self._open.get(job_id)
         return job is not None and job.is_submitted
 
     async def run(self, request: JobRequest) -> JobOutcome:
-        """Run a job to its end. A second submission here takes the first one's place."""
+        """Run a job to its end. A second submission of its id takes over the first one's job."""
         now = clock.monotonic()
-        known = self._open.get(request.id)
-        if known is not None:
-            known.resolve(JobDropped(cause="submitted again"))
-            known.answer = asyncio.get_running_loop().create_future()
-            log_event("job:joined", job=request.id, age_s=round(now - known.arrived_at, 3))
-            return await known.answer
+        earlier = self._open.get(request.id)
+        if earlier is not None:
+            earlier.resolve(JobDropped(cause="submitted again"))
+            earlier.outcome = asyncio.get_running_loop().create_future()
+            log_event("job:joined", job=request.id, age_s=round(now - earlier.arrived_at, 3))
+            return await earlier.outcome
         job = TrackedJob(request=request, arrived_at=now)
         self._open[request.id] = job
         refusal = await self._claim(job)
         if self._open.get(request.id) is not job:
             self._release_unless_reused(request.id)
-            return await job.answer
+            return await job.outcome
         if refusal is not None:
             del self._open[request.id]
             self._release(request.id)
             job.resolve(refusal)
-            return await job.answer
+            return await job.outcome
         job.is_submitted = True
         job.submitted_at = clock.monotonic()
         self._metrics.record("claim", "", job.submitted_at - now)
         self.apply(self._scheduler.submit(request, now=job.submitted_at))
-        return await job.answer
+        return await job.outcome
 
     def leave(self, job_id: str) -> None:
-        """Cancel a job whose caller has hung up."""
+        """Cancel a job whose caller has disconnected."""
         self._drop(job_id, "caller hung up")
 
     def yield_job(self, job_id: str) -> None:
-        """Cancel a job since another entry was asked for it."""
+        """Cancel a job that was submitted to another entry."""
         self._drop(job_id, "submitted elsewhere")
 
     def apply(self, actions: list[Action]) -> None:
-        """Carry out what the scheduler decided."""
+        """Carry out the scheduler's actions."""
         if not actions:
             return
         starts = [action for action in actions if isinstance(action, StartTask)]
         if starts and self._check_pause():
-            # Their jobs were given up with all that had begun.
+            # The recovery from the pause has dropped some of their jobs.
             starts = [start for start in starts if start.job.id in self._open]
         stops = [action for action in actions if isinstance(action, StopTask)]
         self._send(starts, stops)
-        self._endings.extend(stops, now=clock.monotonic())
+        self._unfinished_runs.extend(stops, now=clock.monotonic())
         for action in actions:
             if isinstance(action, JobFinished):
                 self._finish(action, [stop for stop in stops if stop.job_id == action.job.id])
@@ -187,110 +189,117 @@
             elif isinstance(action, AskRoom):
                 self._request_capacity(action)
             elif isinstance(action, TaskGivenUp):
-                self._note_given_up(action)
+                self._record_given_up_task(action)
             elif isinstance(action, RunPresumedOver):
-                self._note_presumed_over(action)
+                self._record_presumed_over(action)
             elif isinstance(action, RunMoved):
-                self._note_moved(action)
+                self._record_moved_run(action)
 
-    def record_run_end(self, news: RunEnded, worker: str) -> None:
-        """Note that a run has ended; the last one of an ended job frees its id."""
-        row = news.run
+    def record_run_end(self, message: RunEnded, worker: str) -> None:
+        """Record that a run has ended. The last run of an ended job releases the id."""
+        row = message.run
         key = TaskKey(row.step, row.position)
-        self._endings.record_end(StopTask(worker=worker, job_id=row.job, task=key, run=row.run))
+        self._unfinished_runs.record_end(
+            StopTask(worker=worker, job_id=row.job, task=key, run=row.run)
+        )
 
     def tick(self, now: float) -> None:
-        """Let time pass: free ids whose runs are surely over, and let the scheduler decide."""
+        """Release ids whose runs must have ended, run the scheduler, and log overdue jobs."""
         self._ticked_at = now
-        self._endings.tick(now=now)
+        self._unfinished_runs.tick(now=now)
         self.apply(self._scheduler.tick(now=now))
         self._log_overdue(now)
 
     def _log_overdue(self, now: float) -> None:
-        """Log each job once that is still open when its caller has waited as long as it would.
+        """Log each open job once its caller's timeout has passed.
 
-        Its caller may be gone without a word, and nothing else would tell what the job waits for.
+        The caller may be gone without closing its connection, and no other log line would show
+        what the job is waiting for.
         """
         for job_id, job in self._open.items():
             if job.is_overdue or now - job.arrived_at <= job.request.patience_s:
                 continue
             job.is_overdue = True
-            known = self._scheduler.open_jobs.get(job_id)
-            workers = {} if known is None else known.workers
+            scheduled = self._scheduler.open_jobs.get(job_id)
+            workers = {} if scheduled is None else scheduled.workers
             log_event(
                 "job:overdue",
                 job=job_id,
                 queue=job.request.queue.name,
                 age_s=round(now - job.arrived_at, 3),
                 is_claimed=job.is_submitted,
-                tasks={} if known is None else known.count_phases(),
+                tasks={} if scheduled is None else scheduled.count_phases(),
                 workers=list(workers),
                 in_reach=[name for name in workers if name in self._scheduler.workers],
             )
 
     def abandon_started(self, now: float) -> None:
-        """Drop what has begun, after this process stood still: the runs were stopped meanwhile.
+        """Drop the started jobs after a pause of this process: their runs may have been stopped.
 
-        What waits is turned away if it stood still for so long that claims of its have lapsed: the
+        Queued jobs are rejected too if the pause was long enough for claims to lapse, since their
         ids may have been granted to other entries.
         """
-        self._standstills += 1
+        self._pause_count += 1
         may_have_lapsed = now - self._ticked_at >= self._times.lost_run_s
-        waiting = JobRejected(cause=STOOD_STILL, retry_after_s=STOOD_STILL_RETRY_S)
-        self._abandon(STOOD_STILL, waiting=waiting if may_have_lapsed else None)
+        queued_outcome = JobRejected(cause=PAUSED_CAUSE, retry_after_s=PAUSED_RETRY_S)
+        self._abandon(PAUSED_CAUSE, queued_outcome=queued_outcome if may_have_lapsed else None)
 
-    def abandon_isolated(self) -> None:
-        """Drop all jobs, since others may be granted their ids while this entry reaches nobody.
+    def abandon_on_isolation(self) -> None:
+        """Drop all jobs, since an isolated entry may lose their ids to other entries.
 
-        What has begun lapses now, as no agent hears this entry; what waits is turned away. Kept, it
-        would start as soon as an agent is back, beside the run of another entry.
+        The agents stop the started jobs, as they receive nothing from this entry. Queued jobs are
+        rejected: if kept, they would start once an agent is reachable again, while another entry
+        may be running them.
         """
-        waiting = JobRejected(cause=CUT_OFF, retry_after_s=CUT_OFF_RETRY_S)
-        self._abandon(CUT_OFF, waiting=waiting)
+        queued_outcome = JobRejected(cause=ISOLATED_CAUSE, retry_after_s=ISOLATED_RETRY_S)
+        self._abandon(ISOLATED_CAUSE, queued_outcome=queued_outcome)
 
-    def _abandon(self, cause: str, *, waiting: JobRejected | None) -> None:
-        """Drop the jobs that have begun, and answer those that wait so, if they go as well."""
+    def _abandon(self, cause: str, *, queued_outcome: JobRejected | None) -> None:
+        """Drop the started jobs, and reject the queued ones if ``queued_outcome`` is given."""
         for job_id, job in list(self._open.items()):
-            known = self._scheduler.open_jobs.get(job_id)
-            if known is None:
-                # It is being claimed, or its end is being carried out.
+            scheduled = self._scheduler.open_jobs.get(job_id)
+            if scheduled is None:
+                # Its id is still being claimed, or its end is being processed.
                 continue
-            if known.has_begun:
-                unseen = self._scheduler.abandon(job_id, now=clock.monotonic())
-                self._drop(job_id, cause, actions=unseen)
-            elif waiting is not None:
-                job.resolve(waiting)
+            if scheduled.has_begun:
+                actions = self._scheduler.abandon(job_id, now=clock.monotonic())
+                self._drop(job_id, cause, actions=actions)
+            elif queued_outcome is not None:
+                job.resolve(queued_outcome)
                 self._drop(job_id, cause)
 
     def abandon_all(self) -> None:
-        """Drop every job, since this process ends."""
+        """Drop every job before this process stops."""
         for job_id in list(self._open):
             self._drop(job_id, "the entry stops")
 
     async def _claim(self, job: TrackedJob) -> JobOutcome | None:
-        """Claim a job's id; return why it can't be had, or None."""
+        """Claim a job's id. Return None once it is granted, or else the outcome of the job."""
         assert self._claims is not None
-        give_up_at = job.arrived_at + CLAIM_WAIT_S
+        deadline = job.arrived_at + CLAIM_WAIT_S
         held_by = "this entry"
         while True:
-            if job.request.id not in self._endings:
-                standstills = self._standstills
+            if job.request.id not in self._unfinished_runs:
+                pause_count = self._pause_count
                 result = await self._claims.claim(job.request.id)
-                if self._check_pause() or standstills != self._standstills:
-                    # The grant may be old: claims lapse when their owner is silent for long.
+                if self._check_pause() or pause_count != self._pause_count:
+                    # The claim may have lapsed during the pause, so the grant may be outdated.
                     continue
                 if isinstance(result, Granted):
                     return None
                 held_by = result.owner
-            if clock.monotonic() > give_up_at or self._open.get(job.request.id) is not job:
+            if clock.monotonic() > deadline or self._open.get(job.request.id) is not job:
                 log_event("job:not-claimed", job=job.request.id, held_by=held_by)
                 if not held_by:
-                    return JobRejected(cause=UNCONFIRMED, retry_after_s=UNCONFIRMED_RETRY_S)
+                    return JobRejected(cause=UNCONFIRMED_CAUSE, retry_after_s=UNCONFIRMED_RETRY_S)
                 return JobDropped(cause="its id is held by another entry")
             await asyncio.sleep(CLAIM_RETRY_S)
 
     def _drop(self, job_id: str, cause: str, *, actions: Iterable[Action] = ()) -> None:
-        """Answer a job's caller that it is followed no more; ``actions`` have ended it already."""
+        """Stop a job and resolve it as dropped.
+
+        ``actions`` are those that the scheduler returned if it has ended the job already.
+        """
         job = self._open.pop(job_id, None)
         if job is None:
             return
@@ -299,7 +308,7 @@
         self._send([], stops)
         for action in actions:
             if isinstance(action, RunPresumedOver):
-                self._note_presumed_over(action)
+                self._record_presumed_over(action)
         log_event(
             "job:dropped",
             job=job_id,
@@ -311,12 +320,12 @@
         self._metrics.count(f"jobs.dropped.{cause.replace(' ', '-')}")
         job.resolve(JobDropped(cause=cause))
         if job.is_submitted:
-            self._endings.begin(job_id, stops, now=clock.monotonic())
-        # A room that was freed is used at the agent's next report.
+            self._unfinished_runs.begin(job_id, stops, now=clock.monotonic())
+        # Freed capacity is used at the agent's next report.
 
     def _finish(self, action: JobFinished, stops: list[StopTask]) -> None:
         job = self._open.pop(action.job.id, None)
-        self._endings.begin(action.job.id, stops, now=clock.monotonic())
+        self._unfinished_runs.begin(action.job.id, stops, now=clock.monotonic())
         if job is None:
             return
         took_s = clock.monotonic() - job.arrived_at
@@ -372,8 +381,8 @@
             outcome = JobRejected(cause=action.cause.value, retry_after_s=action.retry_after_s)
             job.resolve(outcome)
 
-    def _note_given_up(self, action: TaskGivenUp) -> None:
-        """Tell which task was not started again, whose it is and which workers it has cost."""
+    def _record_given_up_task(self, action: TaskGivenUp) -> None:
+        """Count and log a task that is not restarted since it has crashed too many workers."""
         self._metrics.count("tasks.given-up.crashes")
         log_event(
             "task:given-up",
@@ -386,8 +395,8 @@
             is_seen=[crash.is_seen for crash in action.crashes],
         )
 
-    def _note_presumed_over(self, action: RunPresumedOver) -> None:
-        self._tell_unseen(action)
+    def _record_presumed_over(self, action: RunPresumedOver) -> None:
+        self._report_unobserved_end(action)
         self._metrics.count("runs.presumed-over")
         log_event(
             "run:presumed-over",
@@ -399,7 +408,7 @@
             lost_s=round(action.lost_s, 3),
         )
 
-    def _note_moved(self, action: RunMoved) -> None:
+    def _record_moved_run(self, action: RunMoved) -> None:
         self._metrics.count(f"runs.moved.{action.cause}")
         self._metrics.count(f"core-ms.lost.{action.cause}", round(action.age_s * action.cpu))
         log_event(
@@ -416,9 +425,9 @@
         )
 
     def _release_unless_reused(self, job_id: str) -> None:
-        """Free an id that was claimed for a caller that has left meanwhile.
+        """Release an id that was claimed for a caller that has disconnected in the meantime.
 
-        The job may have come again: then the claim is the next submission's as well.
+        If the job was submitted again, the claim belongs to the new submission and is kept.
         """
         if not self.has_open(job_id):
             self._release(job_id)
@@ -429,12 +438,12 @@
 
 
 def _describe_forecast(forecast: Forecast | None) -> dict[str, float | None]:
-    """Return what a refusal's line says of the forecast: null for a begin that is not in sight."""
+    """Return the log fields of a forecast, with None for a start that is not foreseeable."""
     if forecast is None:
         return {}
-    is_in_sight = math.isfinite(forecast.begin_s)
+    is_foreseeable = math.isfinite(forecast.begin_s)
     return {
-        "forecast_s": round(forecast.begin_s, 3) if is_in_sight else None,
+        "forecast_s": round(forecast.begin_s, 3) if is_foreseeable else None,
         "ahead_here_core_s": round(forecast.here_core_s, 3),
         "ahead_elsewhere_core_s": round(forecast.elsewhere_core_s, 3),
         "suiting_cores": round(forecast.cores, 1),
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -104,7 +104,7 @@
             lapse_s=times.lost_run_s,
             dialled=self._dialled,
             accepted=self._accepted,
-            has_met_all=self._has_met_all,
+            has_all_greetings=self._has_all_greetings,
             search=self._routes,
         )
 
@@ -431,7 +431,7 @@
         if answer is not None:
             session.link.send(answer)
 
-    def _has_met_all(self) -> bool:
+    def _has_all_greetings(self) -> bool:
         """Tell whether every entry that is known has said which jobs it has."""
         known = {member.name for member in self._book.members}
         greeted = {s.member.name for s in self._sessions if s.member is not None}
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -294,7 +294,7 @@
         self._agents.tick(now)
         self._peers.tick(now)
         if self._peers.is_isolated:
-            self._tracker.abandon_isolated()
+            self._tracker.abandon_on_isolation()
         self._tracker.tick(now)
 
 
--- a/tests/fleet/test_claims.py
+++ b/tests/fleet/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims between entries: whatever is lost, late or moved, an id has one owner."""
+"""Tests of claims between entries: an id has one owner whatever messages are lost or late."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.base import AsyncTestCase
 
 LAPSE_S = FleetTimes().lost_run_s
-CUT_S = 6.0
-"""A long cut between two entries."""
+PARTITION_S = 6.0
+"""Duration of a long partition between two entries."""
 START = 1000.0
-"""When the entries of a test begin, on their clock."""
+"""Start time of the entries on their simulated clock."""
 
 
 class FakeJobs:
-    """An entry's jobs: those that it has claimed, and those that it asks for."""
+    """The ids of an entry's jobs: claimed, and being claimed."""
 
     def __init__(self) -> None:
         self.claimed: set[str] = set()
-        self.asked: set[str] = set()
-        self.given_up: list[str] = []
+        self.claiming: set[str] = set()
+        self.yielded: list[str] = []
 
     def get_claimed_ids(self) -> list[str]:
         return sorted(self.claimed)
@@ -39,25 +39,25 @@
         return job_id in self.claimed
 
     def has_open(self, job_id: str) -> bool:
-        return job_id in self.claimed or job_id in self.asked
+        return job_id in self.claimed or job_id in self.claiming
 
     def yield_job(self, job_id: str) -> None:
-        self.given_up.append(job_id)
+        self.yielded.append(job_id)
 
 
 class FakeLink:
-    """One direction of a link: delivers in order, holds back, or loses."""
+    """One direction of a link, which delivers messages in order, delays them, or loses them."""
 
     def __init__(self, deliver: Callable[[Any], None]) -> None:
         self._deliver = deliver
         self.is_lossy = False
-        self.is_slow = False
+        self.is_delayed = False
         self.held: list[Any] = []
 
     def send(self, message: Any) -> None:
         if self.is_lossy:
             return
-        if self.is_slow:
+        if self.is_delayed:
             self.held.append(message)
         else:
             asyncio.get_running_loop().call_soon(self._arrive, message)
@@ -66,8 +66,8 @@
         if not self.is_lossy:
             self._deliver(message)
 
-    def catch_up(self) -> None:
-        self.is_slow = False
+    def deliver_held(self) -> None:
+        self.is_delayed = False
         while self.held:
             self._deliver(self.held.pop(0))
 
@@ -87,21 +87,21 @@
 
 
 class Entry:
-    """An entry's claims, with links made by hand."""
+    """The claims of an entry, on simulated links."""
 
     def __init__(self, name: str) -> None:
         self.member = Member(name=name, incarnation=f"{name}-1", address=name, data_centre="austin")
         self.jobs = FakeJobs()
         self.dialled: dict[str, FakeSession] = {}
         self.accepted: dict[str, FakeSession] = {}
-        self.has_met_all = True
+        self.has_all_greetings = True
         self.claims = JobClaims(
             member=self.member,
             jobs=self.jobs,
             lapse_s=LAPSE_S,
             dialled=self.dialled,  # type: ignore[arg-type]
             accepted=self.accepted,  # type: ignore[arg-type]
-            has_met_all=lambda: self.has_met_all,
+            has_all_greetings=lambda: self.has_all_greetings,
         )
 
     @property
@@ -109,14 +109,14 @@
         return self.member.name
 
     def dial(self, other: Entry) -> None:
-        """Open the link that carries this entry's claims, with the greetings on it."""
-        self.take_greeting(self.greet(other))
+        """Open the link that carries this entry's claims, and exchange the greetings on it."""
+        self.handle_greeting(self.greet(other))
 
     def greet(self, other: Entry) -> FakeSession:
-        """Open the link that carries this entry's claims, and greet on it."""
-        back = FakeLink(lambda message: self._take(here, message))
+        """Open the link that carries this entry's claims, and send the greeting on it."""
+        back = FakeLink(lambda message: self._handle_message(here, message))
         there = FakeSession(self.member, back, is_dialled=False)
-        link = FakeLink(lambda message: other._take(there, message))
+        link = FakeLink(lambda message: other._handle_message(there, message))
         here = FakeSession(other.member, link, is_dialled=True)
         here.announced_ids = tuple(self.jobs.get_claimed_ids())
         other.accepted[self.member.incarnation] = there
@@ -124,14 +124,14 @@
         other.claims.record_owner_back(self.member)
         return here
 
-    def take_greeting(self, session: FakeSession) -> None:
-        """Take in the other entry's greeting on a link that this one has dialled."""
+    def handle_greeting(self, session: FakeSession) -> None:
+        """Handle the other entry's greeting on a link that this one has dialled."""
         self.dialled[session.member.name] = session
         self.claims.record_greeting(session)  # type: ignore[arg-type]
         self.claims.announce_all()
 
-    def lose(self, other: Entry) -> None:
-        """Note that the link with another entry has ended without a goodbye, both ways."""
+    def lose_link(self, other: Entry) -> None:
+        """End the links with another entry, in both directions, without a goodbye."""
         session = self.dialled.pop(other.name)
         session.link.is_lossy = True
         self.claims.cancel_pending(session)  # type: ignore[arg-type]
@@ -141,12 +141,12 @@
         self.claims.record_owner_lost(other.member)
 
     def handle_open_ids(self, session: FakeSession, job_ids: tuple[str, ...]) -> None:
-        """Take in what another entry's greeting tells."""
+        """Handle the ids that another entry announces in its greeting."""
         self.claims.handle_open_ids(session, job_ids)  # type: ignore[arg-type]
 
     async def claim(self, job_id: str) -> Granted | Held:
-        """Claim an id as the desk does."""
-        self.jobs.asked.add(job_id)
+        """Claim an id as the job tracker does."""
+        self.jobs.claiming.add(job_id)
         result = await self.claims.claim(job_id)
         if isinstance(result, Granted):
             self.jobs.claimed.add(job_id)
@@ -155,10 +155,10 @@
     def release(self, job_id: str) -> None:
         """Release an id of a job that has ended."""
         self.jobs.claimed.discard(job_id)
-        self.jobs.asked.discard(job_id)
+        self.jobs.claiming.discard(job_id)
         self.claims.release(job_id)
 
-    def _take(self, session: FakeSession, message: Any) -> None:
+    def _handle_message(self, session: FakeSession, message: Any) -> None:
         peer: Any = session
         match message:
             case Claim():
@@ -182,12 +182,12 @@
 
 
 class ClaimsTestCase(AsyncTestCase):
-    """Entries a, b, c, which see one another, on a clock that is moved by hand."""
+    """Entries a, b and c with links between all of them, on a simulated clock."""
 
     def setUp(self) -> None:
         super().setUp()
         self.now = START
-        # The clock is that of the module under test alone; the loop keeps its own.
+        # Only the module under test uses the simulated clock; the event loop keeps its own.
         clock = mock.patch("dalemast.fleet.entry.claims.clock", mock.Mock(monotonic=self._read))
         clock.start()
         self.addCleanup(clock.stop)
@@ -206,15 +206,15 @@
         self.run_async(run())
 
     def cut(self, one: Entry, other: Entry) -> None:
-        one.lose(other)
-        other.lose(one)
+        one.lose_link(other)
+        other.lose_link(one)
 
     def heal(self, one: Entry, other: Entry) -> None:
         one.dial(other)
         other.dial(one)
 
     def wait(self, seconds: float) -> None:
-        """Let time pass, with the ticks of all entries."""
+        """Advance the clock and run the periodic work of all entries."""
         self.now += seconds
         for entry in self.entries:
             entry.claims.sweep(self.now)
@@ -224,7 +224,7 @@
 
 
 async def settle() -> None:
-    """Let what is under way arrive."""
+    """Let messages in flight arrive."""
     for _ in range(10):
         await asyncio.sleep(0)
 
@@ -233,29 +233,26 @@
     return isinstance(result, Granted)
 
 
-class UnansweredTests(ClaimsTestCase):
-    """An entry that gives no answer has not said that an id is free.
+class UnansweredClaimTests(ClaimsTestCase):
+    """A missing response does not grant an id.
 
-    A home that did not answer within 0.15 s was passed over: all entries were asked, and those that
-    gave no answer counted as if they had granted. With the home and the owner both slow, or their
-    answers waiting in the asker's sockets while it was late itself, an id was granted while its
-    owner's runs went on.
+    Guards against granting an id while its owner's runs go on, as the home and the owner are slow.
     """
 
-    def test_an_entry_in_reach_that_does_not_answer_is_no_grant(self) -> None:
+    def test_a_missing_response_is_not_a_grant(self) -> None:
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             for other in (self.a, self.b):
-                self.c.dialled[other.name].link.is_slow = True
+                self.c.dialled[other.name].link.is_delayed = True
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_a_link_that_ends_is_waited_for_no_longer(self) -> None:
+    def test_a_claim_does_not_wait_for_a_link_that_has_ended(self) -> None:
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
-            self.c.dialled["b"].link.is_slow = True
+            self.c.dialled["b"].link.is_delayed = True
             claim = asyncio.ensure_future(self.c.claim(job_id))
             await settle()
             self.cut(self.c, self.b)
@@ -264,68 +261,62 @@
         self.play(scenario)
 
 
-class ToldTests(ClaimsTestCase):
-    """What an entry tells of its claims is kept, also by an entry that grants nothing yet."""
+class AnnouncedClaimsTests(ClaimsTestCase):
+    """Announced claims are kept, also by an entry that does not grant ids yet."""
 
-    def test_a_home_that_knows_too_little_keeps_what_it_is_told(self) -> None:
-        """An entry that had just begun passed over the claims that others moved to it.
-
-        It granted them elsewhere as soon as its first time was over, while their owners' jobs ran.
-        """
+    def test_a_home_keeps_announced_claims_during_its_startup(self) -> None:
+        """Guards against granting an id whose claim was announced before the home was ready."""
 
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
-            young = self.replace_b()
-            young.has_met_all = False
-            session = self.a.greet(young)
+            restarted = self.restart_b()
+            restarted.has_all_greetings = False
+            session = self.a.greet(restarted)
             self.assertTrue(is_granted(await self.a.claim(job_id)))
-            self.a.take_greeting(session)
+            self.a.handle_greeting(session)
             await settle()
-            young.has_met_all = True
-            self.c.dial(young)
+            restarted.has_all_greetings = True
+            self.c.dial(restarted)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_an_id_that_is_only_asked_for_is_not_told_as_claimed(self) -> None:
-        """An entry told a new home of an id that it was still asking for elsewhere.
-
-        The new home took that for a claim, and granted the id while its owner's job ran.
-        """
+    def test_an_id_that_is_still_being_claimed_is_not_announced(self) -> None:
+        """Guards against a new home that takes an unfinished claim for a granted one."""
 
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
-            young = self.replace_b()
-            young.has_met_all = False
+            restarted = self.restart_b()
+            restarted.has_all_greetings = False
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.assertFalse(is_granted(await self.c.claim(job_id)))
-            self.c.dial(young)
+            self.c.dial(restarted)
             await settle()
             self.wait(2 * STARTUP_GRACE_S)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_a_home_that_came_while_an_id_was_claimed_is_asked_as_well(self) -> None:
-        """The old home's answer alone would let the new one grant the id to the next asker."""
+    def test_a_home_that_appears_during_a_claim_is_asked_as_well(self) -> None:
+        """Guards against the new home granting the id again, as only the old one was asked."""
 
         async def scenario() -> None:
             job_id = find_id("b", "c", "a")
-            young = self.replace_b()
-            self.a.dialled["c"].link.is_slow = True
+            restarted = self.restart_b()
+            self.a.dialled["c"].link.is_delayed = True
             claim = asyncio.ensure_future(self.a.claim(job_id))
             await settle()
             for entry in (self.a, self.c):
-                self.heal(entry, young)
-            self.a.dialled["c"].link.catch_up()
+                self.heal(entry, restarted)
+            self.a.dialled["c"].link.deliver_held()
             self.assertTrue(is_granted(await claim))
             await settle()
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def replace_b(self) -> Entry:
-        """Lose an entry for good, and return its next life, which is in nobody's reach yet."""
+    def restart_b(self) -> Entry:
+        """Lose entry b permanently, and return its next incarnation, which has no links yet."""
         self.cut(self.a, self.b)
         self.cut(self.c, self.b)
         self.wait(2 * SUSPECT_S)
@@ -333,62 +324,60 @@
         return self.entries[1]
 
 
-class CutTests(ClaimsTestCase):
-    """Two entries don't reach one another, and each reaches the third.
+class PartitionTests(ClaimsTestCase):
+    """Two entries can't reach each other, but both reach the third.
 
-    The home of an id forgot its claim once it had not heard of its owner for the time of a lost
-    run, and granted it to the third entry, though the owner was in reach of that one. An id whose
-    home is its owner was known to nobody else. And after 4 s no entry doubted any more.
+    Guards against granting an id to the third entry although its owner still runs the job.
     """
 
-    def test_an_id_whose_home_lost_its_owner_is_not_granted(self) -> None:
+    def test_an_id_is_not_granted_when_its_home_has_lost_its_owner(self) -> None:
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.cut(self.a, self.b)
             await settle()
-            self.wait(CUT_S)
+            self.wait(PARTITION_S)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
             await settle()
-            self.assertEqual([job_id], self.a.jobs.given_up)
+            self.assertEqual([job_id], self.a.jobs.yielded)
 
         self.play(scenario)
 
-    def test_an_id_that_is_claimed_late_in_a_cut_is_not_granted(self) -> None:
+    def test_an_id_that_is_claimed_late_in_a_partition_is_not_granted_twice(self) -> None:
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
             self.cut(self.a, self.b)
-            self.wait(CUT_S)
+            self.wait(PARTITION_S)
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_an_id_whose_home_is_its_owner_is_not_granted_beyond_the_cut(self) -> None:
+    def test_an_id_whose_home_is_its_owner_is_not_granted_across_the_partition(self) -> None:
         async def scenario() -> None:
             job_id = find_id("a", "b", "c")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.cut(self.a, self.c)
             await settle()
-            self.wait(CUT_S)
+            self.wait(PARTITION_S)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_an_id_whose_second_keeper_is_beyond_the_cut_is_not_granted(self) -> None:
+    def test_an_id_whose_second_keeper_is_across_the_partition_is_not_granted(self) -> None:
         async def scenario() -> None:
             job_id = find_id("a", "c", "b")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.cut(self.a, self.c)
             await settle()
             self.assertFalse(is_granted(await self.c.claim(job_id)))
-            self.wait(CUT_S)
+            self.wait(PARTITION_S)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
 
         self.play(scenario)
 
-    def test_an_owner_that_is_its_own_home_and_gone_is_waited_for(self) -> None:
-        """Its runs go on for the time of a lost run after its last word."""
+    def test_a_claim_waits_until_the_runs_of_a_lost_owner_have_ended(self) -> None:
+        """Runs of a lost owner go on for up to ``lost_run_s`` after its last message."""
 
         async def scenario() -> None:
             job_id = find_id("a", "b", "c")
@@ -405,13 +394,13 @@
 
 
 class FourEntriesTests(ClaimsTestCase):
-    def test_an_id_that_is_claimed_late_in_a_cut_is_known_to_all_others(self) -> None:
-        """Its owner and the asker take different entries for its home all the while."""
+    def test_an_id_that_is_claimed_late_in_a_partition_is_known_to_all_others(self) -> None:
+        """The owner and the claiming entry assume different homes during the partition."""
 
         async def scenario() -> None:
             job_id = find_id("b", "c", "a", "d")
             self.cut(self.a, self.b)
-            self.wait(CUT_S)
+            self.wait(PARTITION_S)
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.assertFalse(is_granted(await self.d.claim(job_id)))
 
@@ -419,14 +408,14 @@
         self.entries.append(self.d)
         self.play(scenario)
 
-    def test_an_owner_that_is_asked_keeps_its_id_and_gives_the_job_up(self) -> None:
+    def test_an_owner_that_is_asked_yields_its_job_and_keeps_the_id_until_then(self) -> None:
         async def scenario() -> None:
             job_id = find_id("a", "b", "c", "d")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
             self.assertEqual(
                 Held(owner=self.a.member.incarnation, free_at=None), await self.d.claim(job_id)
             )
-            self.assertEqual([job_id], self.a.jobs.given_up)
+            self.assertEqual([job_id], self.a.jobs.yielded)
             self.a.release(job_id)
             self.assertTrue(is_granted(await self.d.claim(job_id)))
 
@@ -434,8 +423,8 @@
         self.entries.append(self.d)
         self.play(scenario)
 
-    def test_of_two_owners_the_later_teller_gives_up_and_both_are_kept(self) -> None:
-        """Two entries were granted an id on both sides of a cut, and their home hears of both."""
+    def test_of_two_owners_the_later_to_announce_yields_and_both_claims_are_kept(self) -> None:
+        """Two entries were granted an id on both sides of a partition, and both announce it."""
 
         async def scenario() -> None:
             job_id = find_id("b", "c", "a", "d")
@@ -443,7 +432,7 @@
                 owner.jobs.claimed.add(job_id)
                 owner.claims.announce_all()
             await settle()
-            self.assertEqual(([], [job_id]), (self.a.jobs.given_up, self.d.jobs.given_up))
+            self.assertEqual(([], [job_id]), (self.a.jobs.yielded, self.d.jobs.yielded))
             self.a.release(job_id)
             self.assertFalse(is_granted(await self.c.claim(job_id)))
             self.d.release(job_id)
@@ -455,11 +444,8 @@
 
 
 class ReleaseTests(ClaimsTestCase):
-    def test_an_id_whose_release_was_lost_is_free_when_it_is_asked_for(self) -> None:
-        """A home kept a claim whose release was lost with its link, and its owner lived on.
-
-        It asked the owner to give the job up, who had none and said nothing: the id stayed taken.
-        """
+    def test_an_id_whose_release_was_lost_becomes_free_when_it_is_claimed(self) -> None:
+        """Guards against an id that stays claimed for as long as its previous owner runs."""
 
         async def scenario() -> None:
             job_id = find_id("b", "a", "c")
@@ -474,7 +460,7 @@
 
         self.play(scenario)
 
-    def test_every_entry_that_was_asked_or_told_is_told_of_the_end(self) -> None:
+    def test_every_entry_that_knows_of_a_claim_receives_its_release(self) -> None:
         async def scenario() -> None:
             job_id = find_id("a", "b", "c")
             self.assertTrue(is_granted(await self.a.claim(job_id)))
@@ -501,18 +487,17 @@
         st.tuples(st.just("cut"), ENTRY, ENTRY),
         st.tuples(st.just("heal"), st.none(), st.none()),
         st.tuples(st.just("replace"), ENTRY, st.none()),
-        st.tuples(st.just("wait"), st.sampled_from([0.3, 1.0, CUT_S]), st.none()),
+        st.tuples(st.just("wait"), st.sampled_from([0.3, 1.0, PARTITION_S]), st.none()),
     ),
     st.booleans(),
 )
-"""What happens, and whether all that is under way arrives before the next step."""
+"""A step, and whether all messages in flight arrive before the next one."""
 
 
 class AnyOrderTests(ClaimsTestCase):
-    """Claims, releases, cuts and new lives in any order: two entries never both have an id.
+    """Two entries never own an id at once, whatever the order of claims, releases and failures.
 
-    There is one trouble at a time, a cut between two entries or a new life of one, and messages
-    arrive between the steps or not until later ones. What was under way on a link is lost with it.
+    One failure occurs at a time: a partition between two entries, or the restart of one.
     """
 
     def setUp(self) -> None:
@@ -575,7 +560,7 @@
             self.cut_pair = None
 
     def do_replace(self, number: int, _: None) -> None:
-        """Let an entry die, and begin its next life once its runs have ended by themselves."""
+        """Lose an entry, and start its next incarnation once its runs have ended."""
         if self.cut_pair is not None:
             return
         old = self.entries[number]
--- a/tests/fleet/test_job_tracker.py
+++ b/tests/fleet/test_job_tracker.py
@@ -1,4 +1,4 @@
-"""Where a job is at its entry, and when its id is free for another submission."""
+"""Tests of the tracking of jobs at an entry, and of the release of their ids."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
 TIMES = FleetTimes()
 KEY = TaskKey(0, 0)
 ROUNDING_S = 1e-6
-"""More than what a sum and a difference of two times lose between them."""
+"""Tolerance for floating-point rounding of times."""
 
 
 class FakeClaims:
-    """Grants claims, or keeps each caller waiting for its answer."""
+    """Grants claims at once, or delays each until ``respond`` is called."""
 
     def __init__(self) -> None:
-        self.is_held_up = False
+        self.is_delayed = False
         self.result: Granted | Held = Granted()
         self.waiting: list[asyncio.Future[Granted | Held]] = []
         self.log: list[str] = []
 
     async def claim(self, job_id: str) -> Granted | Held:
-        if self.is_held_up:
+        if self.is_delayed:
             self.waiting.append(asyncio.get_running_loop().create_future())
             return await self.waiting[-1]
-        self._note(self.result)
+        self._record(self.result)
         return self.result
 
     def release(self, job_id: str) -> None:
         self.log.append("released")
 
-    def answer(self, number: int, result: Granted | Held) -> None:
-        self._note(result)
+    def respond(self, number: int, result: Granted | Held) -> None:
+        self._record(result)
         self.waiting[number].set_result(result)
 
-    def _note(self, result: Granted | Held) -> None:
+    def _record(self, result: Granted | Held) -> None:
         self.log.append("granted" if isinstance(result, Granted) else "held")
 
 
 class JobTrackerTestCase(AsyncTestCase):
-    """A desk whose agents and claims are played by hand."""
+    """Builds a job tracker with simulated agents and claims."""
 
     def make_tracker(self, *workers: str) -> JobTracker:
         self.now = clock.monotonic()
@@ -100,20 +100,20 @@
         return self.scheduler.update_worker(name, report, now=self.now)
 
     def end_run(self, tracker: JobTracker, *, run: int, worker: str, key: TaskKey = KEY) -> None:
-        """Tell the desk of a run's end, as the links with agents do."""
+        """Report the end of a run to the tracker, as the links with agents do."""
         row = RunRow(job=JOB, step=key.step, position=key.position, run=run)
-        news = RunEnded(run=row, reason=EndReason.STOPPED, run_s=0.0)
-        tracker.record_run_end(news, worker)
+        message = RunEnded(run=row, reason=EndReason.STOPPED, run_s=0.0)
+        tracker.record_run_end(message, worker)
 
     async def submit(self, tracker: JobTracker, *, count: int = 1) -> asyncio.Task[object]:
         """Submit a job and return once it is placed."""
-        begun = len(self.starts)
+        started_before = len(self.starts)
         job = asyncio.ensure_future(tracker.run(make_job(JOB, make_step(count))))
-        await wait_until(lambda: len(self.starts) == begun + count, "the starts")
+        await wait_until(lambda: len(self.starts) == started_before + count, "the starts")
         return job
 
     def _check_pause(self) -> bool:
-        """Let the desk recover from a standstill, as its process does."""
+        """Recover from a process pause if ``paused_s`` is set, as the entry process does."""
         if not self.paused_s:
             return False
         self.tracker.abandon_started(self.now + self.paused_s)
@@ -125,16 +125,13 @@
         self.stops += stops
 
 
-class EndingTests(JobTrackerTestCase):
-    """An id is free once each run that was stopped has ended.
+class UnfinishedRunsTests(JobTrackerTestCase):
+    """An id is released only once every stopped run has ended.
 
-    The stops of a job that was given up were counted, and each end of a run of that id took one
-    off. An agent that was out of reach for a while may tell of the end of an older run, while a
-    newer one is still being stopped elsewhere: the id was freed, and the job began at another entry
-    while it ran here.
+    Guards against a late end of an older run that releases the id while a newer run goes on.
     """
 
-    def test_the_end_of_another_run_frees_nothing(self) -> None:
+    def test_the_end_of_another_run_does_not_release_the_id(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
             job = await self.submit(tracker)
@@ -154,7 +151,7 @@
 
         self.run_async(scenario())
 
-    def test_an_end_that_is_said_twice_frees_nothing(self) -> None:
+    def test_a_duplicate_end_does_not_release_the_id(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
             job = await self.submit(tracker, count=2)
@@ -168,8 +165,8 @@
 
         self.run_async(scenario())
 
-    def test_the_same_run_on_another_worker_frees_nothing(self) -> None:
-        """Run numbers begin again with a new submission of an id."""
+    def test_the_end_of_the_same_run_on_another_worker_does_not_release_the_id(self) -> None:
+        """Run numbers restart with each submission of an id."""
 
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
@@ -181,12 +178,8 @@
 
         self.run_async(scenario())
 
-    def test_a_run_that_is_found_again_is_waited_for_anew(self) -> None:
-        """An agent that is back lists a run of the job that was given up, so it is not over.
-
-        The owner's words to that agent have prolonged it meanwhile, so its time counts from the
-        stop that is said now.
-        """
+    def test_stopping_a_run_again_restarts_its_wait(self) -> None:
+        """Guards against a release while a run that its agent lists again still has a lease."""
 
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
@@ -206,15 +199,13 @@
         self.run_async(scenario())
 
 
-class NumberTests(JobTrackerTestCase):
-    """Runs of an id are told apart by their numbers, also those of two submissions.
+class RunNumberTests(JobTrackerTestCase):
+    """Runs of two submissions of an id have different numbers.
 
-    A job was given up, its id was freed by time, and it came again to the same entry, whose first
-    run got the number 1 on the same worker. The end of the first submission's run 1 then arrived,
-    late, and was taken for that of the second: its task began elsewhere while it ran.
+    Guards against a late end of the first submission's run that ends a run of the second.
     """
 
-    def test_a_late_end_of_an_earlier_submission_ends_no_run(self) -> None:
+    def test_a_late_end_from_an_earlier_submission_is_ignored(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
             first = await self.submit(tracker)
@@ -236,24 +227,22 @@
 
 
 class ClaimTests(JobTrackerTestCase):
-    """A claim belongs to one submission, whenever its answer comes.
+    """A claim belongs to one submission, whenever its response arrives.
 
-    A caller hung up while its claim was under way, and the job came again to the same entry. The
-    answer to the first claim then found another submission in its place and released the id, which
-    the second had claimed as well: another entry was granted it while the job ran here.
+    Guards against a late response that releases an id which a newer submission has claimed.
     """
 
-    def test_a_claim_that_came_too_late_does_not_release_the_next_ones(self) -> None:
+    def test_a_late_grant_does_not_release_the_claim_of_the_next_submission(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
-            self.claims.is_held_up = True
+            self.claims.is_delayed = True
             first = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the first claim")
             tracker.leave(JOB)
             second = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 2, "the second claim")
-            self.claims.answer(0, Granted())
-            self.claims.answer(1, Granted())
+            self.claims.respond(0, Granted())
+            self.claims.respond(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
             self.assertIsInstance(await first, JobDropped)
             self.assertEqual(["granted", "granted"], self.claims.log)
@@ -262,16 +251,16 @@
 
         self.run_async(scenario())
 
-    def test_what_was_granted_to_a_caller_that_hung_up_is_released(self) -> None:
+    def test_a_claim_is_released_after_its_caller_has_disconnected(self) -> None:
         """Some entries may have granted a claim that another one refused."""
 
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
-            self.claims.is_held_up = True
+            self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
             tracker.leave(JOB)
-            self.claims.answer(0, Held(owner="o2", free_at=None))
+            self.claims.respond(0, Held(owner="o2", free_at=None))
             await job
             self.assertEqual(["held", "released"], self.claims.log)
 
@@ -280,12 +269,12 @@
     def test_an_id_counts_as_claimed_from_its_grant_to_its_release(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
-            self.claims.is_held_up = True
+            self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
             self.assertEqual([], tracker.get_claimed_ids())
             self.assertTrue(tracker.has_open(JOB))
-            self.claims.answer(0, Granted())
+            self.claims.respond(0, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
             self.assertEqual(([JOB], True), (tracker.get_claimed_ids(), tracker.is_active(JOB)))
             tracker.leave(JOB)
@@ -297,23 +286,23 @@
         self.run_async(scenario())
 
 
-class OldGrantTests(JobTrackerTestCase):
-    """A grant may be old when it is read: it waits in the socket while its entry stands still.
+class OutdatedGrantTests(JobTrackerTestCase):
+    """A grant that is read after a process pause may be outdated.
 
-    The home counts the entry as lost meanwhile, and the id may have been granted to another one.
+    Guards against using a grant whose id has been granted to another entry in the meantime.
     """
 
-    def test_an_id_is_claimed_anew_if_its_entry_stood_still_before_the_answer(self) -> None:
+    def test_an_id_is_claimed_again_after_a_pause_during_its_claim(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
-            self.claims.is_held_up = True
+            self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
-            self.claims.answer(0, Granted())
+            self.claims.respond(0, Granted())
             tracker.abandon_started(self.now + TIMES.lost_run_s)
             await wait_until(lambda: len(self.claims.waiting) == 2, "another claim")
             self.assertEqual([], self.starts)
-            self.claims.answer(1, Granted())
+            self.claims.respond(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
             tracker.leave(JOB)
             await job
@@ -321,15 +310,13 @@
         self.run_async(scenario())
 
 
-class StandstillTests(JobTrackerTestCase):
-    """A job that waits while its entry stands still may have been claimed elsewhere meanwhile.
+class ProcessPauseTests(JobTrackerTestCase):
+    """A queued job may have been claimed by another entry during a process pause.
 
-    Its claim lapses at its home once the entry was out of reach for long enough. Only what had
-    begun was given up afterwards: a job that had waited for room began then, beside the run of
-    the entry that the id had been granted to.
+    Guards against starting a job whose claim has lapsed, beside the run of its new owner.
     """
 
-    def test_what_waited_is_turned_away_if_its_claim_may_have_lapsed(self) -> None:
+    def test_a_queued_job_is_rejected_if_its_claim_may_have_lapsed(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker()
             tracker.tick(self.now)
@@ -342,7 +329,7 @@
 
         self.run_async(scenario())
 
-    def test_what_waited_goes_on_waiting_if_its_claim_can_not_have_lapsed(self) -> None:
+    def test_a_queued_job_stays_queued_if_its_claim_cannot_have_lapsed(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker()
             tracker.tick(self.now)
@@ -355,11 +342,8 @@
 
         self.run_async(scenario())
 
-    def test_nothing_starts_between_a_standstill_and_what_it_gives_up(self) -> None:
-        """Messages that waited in the sockets are acted on before the process knows of its pause.
-
-        An agent's report of free room let a waiting job begin, whose claim had lapsed meanwhile.
-        """
+    def test_nothing_starts_between_a_pause_and_the_recovery_from_it(self) -> None:
+        """Guards against a start that is triggered by a message received before the recovery."""
 
         async def scenario() -> None:
             tracker = self.make_tracker()
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -171,11 +171,11 @@
                 claims = fleet.entries[0]._peers.claims
                 # As after the loss of a peer that was this id's home: all the others are asked.
                 lost = next(f"l{n}" for n in range(99) if is_home(f"l{n}", JOB, fleet))
-                claims._lost_until[lost] = float("inf")
+                claims._suspected_until[lost] = float("inf")
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(0.4)))
                 await wait_until(lambda: len(fleet.get_running(JOB)) == 1)
-                self.assertEqual({"entry-1", "entry-2"}, claims._asked_for[JOB])
-                claims._lost_until.clear()
+                self.assertEqual({"entry-1", "entry-2"}, claims._claim_recipients[JOB])
+                claims._suspected_until.clear()
                 self.assertEqual(200, (await job).status)
                 await wait_until(lambda: not any(e.get_state()["claims"] for e in fleet.entries))
 
--- a/tests/fleet/test_refused_lines.py
+++ b/tests/fleet/test_refused_lines.py
@@ -1,4 +1,4 @@
-"""The line of a refusal leads an operator to its cause."""
+"""Tests of the log record of a refused job, from which operators find the cause."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.fleet.test_job_tracker import JOB, JobTrackerTestCase, make_job
 
 
-class RefusedLineTests(JobTrackerTestCase):
-    def test_it_names_the_rule_that_left_out_the_worker_with_room(self) -> None:
+class RefusalLogTests(JobTrackerTestCase):
+    def test_it_names_the_rules_that_excluded_the_workers(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1", "w2", "w3")
             slow = self.scheduler.workers["w3"]
@@ -27,36 +27,36 @@
                 await asyncio.sleep(0)
                 tracker.tick(self.now + 1.0)
                 self.assertIsInstance(await job, JobRejected)
-            (line,) = [call for call in log.call_args_list if call.args == ("job:refused",)]
-            self.assertEqual({"not_accepting": 2, "too_slow": 1}, line.kwargs["left_out"])
+            (record,) = [call for call in log.call_args_list if call.args == ("job:refused",)]
+            self.assertEqual({"not_accepting": 2, "too_slow": 1}, record.kwargs["left_out"])
 
         asyncio.run(scenario())
 
-    def test_it_tells_the_forecast_and_what_goes_ahead(self) -> None:
+    def test_it_contains_the_forecast_and_the_work_queued_ahead(self) -> None:
         async def scenario() -> None:
             tracker = self.make_tracker("w1")
             forecast = Forecast(begin_s=1.5, here_core_s=2.0, elsewhere_core_s=40.0, cores=64.0)
-            line = self.refuse(tracker, forecast)
-            told = ("forecast_s", "ahead_here_core_s", "ahead_elsewhere_core_s", "suiting_cores")
-            self.assertEqual([1.5, 2.0, 40.0, 64.0], [line[name] for name in told])
+            record = self.refuse(tracker, forecast)
+            fields = ("forecast_s", "ahead_here_core_s", "ahead_elsewhere_core_s", "suiting_cores")
+            self.assertEqual([1.5, 2.0, 40.0, 64.0], [record[name] for name in fields])
 
         asyncio.run(scenario())
 
-    def test_a_begin_that_is_not_in_sight_is_null(self) -> None:
+    def test_an_unforeseeable_start_is_null(self) -> None:
         async def scenario() -> None:
             forecast = Forecast(begin_s=math.inf, here_core_s=0.0, elsewhere_core_s=0.0, cores=0.0)
             self.assertIsNone(self.refuse(self.make_tracker("w1"), forecast)["forecast_s"])
 
         asyncio.run(scenario())
 
-    def test_without_a_forecast_it_is_as_long_as_before(self) -> None:
+    def test_without_a_forecast_the_fields_are_left_out(self) -> None:
         async def scenario() -> None:
             self.assertNotIn("forecast_s", self.refuse(self.make_tracker("w1"), None))
 
         asyncio.run(scenario())
 
     def refuse(self, tracker: JobTracker, forecast: Forecast | None) -> dict[str, Any]:
-        """Return what the line says of a job that was refused at its arrival."""
+        """Return the log fields of a job that is refused at its arrival."""
         refused = JobRefused(
             job=make_job(JOB, make_step()),
             cause=RefusalCause.OVERLOAD,
