--- a/dalemast/fleet/entry/__init__.py
+++ b/dalemast/fleet/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: owns the jobs that callers hand to it."""
+"""The entry: accepts jobs from callers and owns them until they end."""
 
 from dalemast.fleet.entry.process import FleetEntryProcess
 
--- a/dalemast/fleet/entry/agent_sessions.py
+++ b/dalemast/fleet/entry/agent_sessions.py
@@ -1,4 +1,4 @@
-"""The links with agents, as this entry sees each one."""
+"""The session of an entry on a link with an agent."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 
 class AgentSessionHandler(Protocol):
-    """Takes what happens on a link."""
+    """Handles the messages and the end of a link."""
 
     def begin_frame(self) -> None:
-        """Prepare for a frame's messages."""
+        """Prepare for the messages of a frame."""
 
     def handle_message(self, session: AgentSession, message: AgentMessage) -> None:
-        """Take in one message."""
+        """Handle a message."""
 
     def end_session(self, session: AgentSession, reason: str) -> None:
-        """Give a link up."""
+        """Close a link."""
 
 
 class AgentSession:
-    """One agent's link, from its hello to its end."""
+    """The session with one agent, from the opening of its link to the end of it."""
 
     def __init__(self, *, link: Link, links: AgentSessionHandler) -> None:
         self._link = link
@@ -33,24 +33,24 @@
         self.worker = ""
         self.is_ending = False
         self.active_since: float | None = None
-        """Since when the link has carried runs."""
+        """Since when the link has carried runs, or a request that waits for its response."""
 
     @property
     def name(self) -> str:
-        """The agent's name, or an empty text before its greeting."""
+        """The agent's name, or an empty string before its greeting."""
         return self.hello.name if self.hello else ""
 
     @property
     def link(self) -> Link:
-        """The link."""
+        """The link of this session."""
         return self._link
 
     def receive(self, messages: list[AgentMessage]) -> None:
-        """Take in a frame."""
+        """Handle the messages of a frame."""
         self._links.begin_frame()
         for message in messages:
             self._links.handle_message(self, message)
 
     def close(self) -> None:
-        """Note that the link has ended."""
+        """Handle the end of the link."""
         self._links.end_session(self, "closed")
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -1,4 +1,4 @@
-"""The entry's links with agents: turns frames into the scheduler's calls and back."""
+"""The links of an entry with agents: translates messages into calls of the scheduler and back."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 __all__ = ["AgentLinks"]
 
-LOGGED_ENDS = frozenset(
+LOGGED_END_REASONS = frozenset(
     {
         EndReason.FAILED,
         EndReason.STOPPED,
@@ -70,13 +70,17 @@
         EndReason.PREEMPTED,
     }
 )
-"""Ends with a line of their own. Under load several starts a job find no room; the line at the
-job's end counts them."""
+"""End reasons with a log line of their own. Refused starts are frequent under load, and are counted
+in the log line at the end of the job instead."""
 Apply = Callable[[list[Action]], None]
 
 
 class AgentLinks:
-    """All agents in reach of this entry."""
+    """The links of this entry with all reachable agents.
+
+    ``get_checked_at`` returns when this process was last known not to be paused. ``check_pause``
+    detects a pause of this process and starts the recovery from it.
+    """
 
     def __init__(
         self,
@@ -100,8 +104,8 @@
         self._apply = apply
         self._get_checked_at = get_checked_at
         self._check_pause = check_pause
-        self._note_end = record_run_end
-        self._tell_peers = notify_peers
+        self._record_run_end = record_run_end
+        self._notify_peers = notify_peers
         self._sessions: dict[str, AgentSession] = {}
         self._by_worker: dict[str, AgentSession] = {}
         self._routes: PeerRoutes | None = None
@@ -111,34 +115,34 @@
 
     @property
     def has_workers(self) -> bool:
-        """Whether any worker is in reach."""
+        """Whether any worker is reachable."""
         return bool(self._by_worker)
 
     def set_routes(self, routes: PeerRoutes) -> None:
-        """Take who hears what agents tell of other entries."""
+        """Set the routes, which handle the agents' messages about other entries."""
         self._routes = routes
 
     def accept(self, link: Link) -> AgentSession:
-        """Greet an agent that opened a link."""
+        """Start a session on a link that an agent has opened."""
         link.begin_frames(self._make_sent_at)
         link.send(EntryHello(member=to_row(self._member)))
         return AgentSession(link=link, links=self)
 
     def send_members(self, members: Iterable[Member]) -> None:
-        """Pass on entries that were learned of."""
-        news = MemberNews(members=tuple(to_row(member) for member in members))
-        if news.members:
+        """Send newly known entries to all agents."""
+        message = MemberNews(members=tuple(to_row(member) for member in members))
+        if message.members:
             for session in self._sessions.values():
-                session.link.send(news)
+                session.link.send(message)
 
     def send_evacuations(self, _: Evacuations) -> None:
-        """Tell all agents what is evacuated by now."""
-        news = self._evacuations.make_news()
+        """Send the evacuations in force to all agents."""
+        message = self._evacuations.make_news()
         for session in self._sessions.values():
-            session.link.send(news)
+            session.link.send(message)
 
     def send(self, starts: list[StartTask], stops: list[StopTask]) -> None:
-        """Send starts and stops; all tasks of a job for one worker share its text."""
+        """Send starts and stops. A job's tasks for one worker share a message with its payload."""
         groups: dict[tuple[str, str], list[StartTask]] = {}
         for start in starts:
             groups.setdefault((start.worker, start.job.id), []).append(start)
@@ -152,44 +156,44 @@
             if session is not None:
                 session.link.send(Stop(run=make_run_row(stop.job_id, stop.task, stop.run)))
 
-    def send_capacity_requests(self, asked: AskRoom) -> None:
-        """Tell agents what this entry lacks room for."""
-        message = Wants(want=make_capacity_request_row(asked.want))
-        for worker in asked.workers:
+    def send_capacity_requests(self, request: AskRoom) -> None:
+        """Send agents the capacity that this entry needs for queued work."""
+        message = Wants(want=make_capacity_request_row(request.want))
+        for worker in request.workers:
             session = self._by_worker.get(worker)
             if session is not None:
                 session.link.send(message)
 
     def begin_frame(self) -> None:
-        """Find out whether this process stood still before it acts on what waited meanwhile."""
+        """Check for a process pause before messages that arrived during it are handled."""
         self._check_pause()
 
     def handle_message(self, session: AgentSession, message: AgentMessage) -> None:
-        """Take in one message."""
+        """Handle a message from an agent."""
         assert self._routes is not None
         match message:
             case ClockAsk():
-                self._answer_clock(session, message)
+                self._send_clock_response(session, message)
             case AgentHello():
                 self._greet(session, message)
             case WorkerNews():
-                self._meet_worker(session, message)
+                self._handle_worker(session, message)
             case RoomNews():
-                self._update_room(session, message)
+                self._update_capacity(session, message)
             case RoomComing():
-                self._note_coming_room(session, message)
+                self._record_capacity_releases(session, message)
             case WorkerPace():
-                self._note_speed(session, message)
+                self._record_speed(session, message)
             case WorkerLeaving():
-                self._note_leaving(session, message)
+                self._record_departure(session, message)
             case RunCutShort():
-                self._note_cut_short(session, message)
+                self._record_departure_risk(session, message)
             case Crashed():
-                self._note_crash(message)
+                self._handle_crash(message)
             case RunEnded():
-                self._end_run(session, message)
+                self._handle_run_end(session, message)
             case RunSlow():
-                self._report_slow(session, message)
+                self._handle_slow_run(session, message)
             case EntriesHeard():
                 self._routes.handle_reachable_entries(session, message)
             case Relayed():
@@ -202,28 +206,28 @@
                 pass
 
     def end_session(self, session: AgentSession, reason: str) -> None:
-        """Give a link up: its worker's runs may go on for a while."""
+        """Close a link and remove its worker, whose runs may go on for a while."""
         session.link.reset()
         name = session.name
         if self._sessions.get(name) is not session:
             return
         del self._sessions[name]
         log_event("agent:lost", agent=name, worker=session.worker, reason=reason)
-        self._drop_worker(session)
+        self._remove_worker(session)
         if self._routes is not None:
             self._routes.remove_agent(session)
 
     def reset_liveness_timers(self, late_s: float) -> None:
-        """Take a time in which this entry did not listen off the silence of all agents."""
+        """Exclude a time in which this process was late from the liveness timers of all links."""
         for session in self._sessions.values():
             session.link.forgive(late_s)
 
     def tick(self, now: float) -> None:
-        """Send beats and give up silent links."""
+        """Send heartbeats and close unresponsive links."""
         assert self._routes is not None
         busy = self._scheduler.get_busy_workers()
         for session in list(self._sessions.values()):
-            # An agent that owes an answer is waited for no longer than one that carries runs.
+            # An agent that has to respond about lost peers gets the shorter timeout, too.
             is_busy = session.worker in busy or self._routes.is_awaiting(session)
             if is_busy:
                 self._mark_active(session)
@@ -239,30 +243,32 @@
         heard_at = max(link.heard_at, session.active_since or 0.0)
         silence_s = now - heard_at
         if silence_s > (times.silence_s if is_busy else times.idle_silence_s):
-            self.end_session(session, f"silent for {silence_s:.2f} s")
+            self.end_session(session, f"no message received for {silence_s:.2f} s")
 
     def _mark_active(self, session: AgentSession) -> None:
         if session.active_since is None:
             session.active_since = clock.monotonic()
 
     def _make_sent_at(self) -> Said:
-        """Return when what follows is said: when this process last knew that it ran on.
+        """Return the time stamp for a frame: when this process was last known not to be paused.
 
-        It may have stood still since, between a decision and its sending.
+        The current time would be too late if the process was paused between a decision and the
+        sending of it.
         """
         return Said(at_ms=int(self._get_checked_at() * 1000))
 
-    def _answer_clock(self, session: AgentSession, asked: ClockAsk) -> None:
+    def _send_clock_response(self, session: AgentSession, request: ClockAsk) -> None:
         heard_at_ms = math.ceil(clock.monotonic() * 1000)
-        session.link.send(ClockAnswer(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        session.link.send(ClockAnswer(sent_at_ms=request.sent_at_ms, heard_at_ms=heard_at_ms))
 
     def _greet(self, session: AgentSession, hello: AgentHello) -> None:
-        before = self._sessions.get(hello.name)
-        if before is not None and before is not session:
-            self.end_session(before, "replaced")
+        previous = self._sessions.get(hello.name)
+        if previous is not None and previous is not session:
+            self.end_session(previous, "replaced")
         session.hello = hello
         self._sessions[hello.name] = session
-        # Only now, since changes are told to greeted agents; no start goes out before.
+        # Later changes are sent to greeted agents only, so the current state is sent here. No start
+        # is sent before it.
         evacuations = self._evacuations.make_news()
         if evacuations is not None:
             session.link.send(evacuations)
@@ -271,42 +277,46 @@
         if self._routes is not None:
             self._routes.add_agent(session)
 
-    def _meet_worker(self, session: AgentSession, news: WorkerNews) -> None:
+    def _handle_worker(self, session: AgentSession, message: WorkerNews) -> None:
         hello = session.hello
         if hello is None:
             return
-        capacity = Resources(cpu=news.cpu, memory_mb=news.memory_mb, gpu=news.gpu)
-        if news.id and news.id == session.worker:
-            # Told twice; the stops that followed from the first time are on their way.
-            self._scheduler.resize_worker(news.id, capacity)
-            session.link.send(Reconciled(number=news.number))
+        capacity = Resources(cpu=message.cpu, memory_mb=message.memory_mb, gpu=message.gpu)
+        if message.id and message.id == session.worker:
+            # A repeated report. The stops that follow from the first one are sent already.
+            self._scheduler.resize_worker(message.id, capacity)
+            session.link.send(Reconciled(number=message.number))
             return
-        self._drop_worker(session)
-        if not news.id:
+        self._remove_worker(session)
+        if not message.id:
             return
         view = WorkerView(
-            name=news.id,
-            service=news.service,
+            name=message.id,
+            service=message.service,
             capacity=capacity,
-            labels=frozenset(news.labels),
+            labels=frozenset(message.labels),
             data_centre=hello.data_centre,
             is_near=hello.data_centre == self._member.data_centre,
         )
-        session.worker = news.id
-        self._by_worker[news.id] = session
+        session.worker = message.id
+        self._by_worker[message.id] = session
         self._scheduler.add_worker(view, now=clock.monotonic())
-        listed = [(row.job, TaskKey(row.step, row.position), row.run) for row in news.runs]
+        listed_runs = [(row.job, TaskKey(row.step, row.position), row.run) for row in message.runs]
         log_event(
-            "worker:in-reach", worker=news.id, agent=hello.name, cpu=news.cpu, runs=len(listed)
+            "worker:in-reach",
+            worker=message.id,
+            agent=hello.name,
+            cpu=message.cpu,
+            runs=len(listed_runs),
         )
-        actions = self._scheduler.reconcile(news.id, listed, now=clock.monotonic())
-        # Between the stops and the starts: the agent takes no start before, since one that was
-        # under way as it told of its runs is missing there and counts as over here.
+        actions = self._scheduler.reconcile(message.id, listed_runs, now=clock.monotonic())
+        # Sent between the stops and the starts: until then the agent refuses starts, since one that
+        # was in flight while it listed its runs is missing in the list and counts as ended here.
         self._apply([action for action in actions if isinstance(action, StopTask)])
-        session.link.send(Reconciled(number=news.number))
+        session.link.send(Reconciled(number=message.number))
         self._apply([action for action in actions if not isinstance(action, StopTask)])
 
-    def _drop_worker(self, session: AgentSession) -> None:
+    def _remove_worker(self, session: AgentSession) -> None:
         if not session.worker:
             return
         worker = session.worker
@@ -315,77 +325,77 @@
             del self._by_worker[worker]
             self._apply(self._scheduler.lose_worker(worker, now=clock.monotonic()))
 
-    def _update_room(self, session: AgentSession, news: RoomNews) -> None:
+    def _update_capacity(self, session: AgentSession, message: RoomNews) -> None:
         report = RoomReport(
-            seen=news.seen,
-            free=Resources(cpu=news.cpu, memory_mb=news.memory_mb, gpu=news.gpu),
-            is_accepting=news.is_accepting,
-            pace=news.pace,
+            seen=message.seen,
+            free=Resources(cpu=message.cpu, memory_mb=message.memory_mb, gpu=message.gpu),
+            is_accepting=message.is_accepting,
+            pace=message.pace,
         )
         now = clock.monotonic()
         self._apply(self._scheduler.update_worker(session.worker, report, now=now))
 
-    def _note_coming_room(self, session: AgentSession, news: RoomComing) -> None:
-        rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
+    def _record_capacity_releases(self, session: AgentSession, message: RoomComing) -> None:
+        rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in message.rows)
         self._scheduler.note_coming_room(session.worker, rows, now=clock.monotonic())
 
-    def _note_leaving(self, session: AgentSession, news: WorkerLeaving) -> None:
+    def _record_departure(self, session: AgentSession, message: WorkerLeaving) -> None:
         if not session.worker:
             return
-        in_s = None if news.in_s < 0 else news.in_s
+        in_s = None if message.in_s < 0 else message.in_s
         log_event("worker:leaving", worker=session.worker, leaves_in_s=in_s)
         self._scheduler.note_leaving(session.worker, in_s, now=clock.monotonic())
 
-    def _note_speed(self, session: AgentSession, news: WorkerPace) -> None:
-        speed = WorkerSpeed(slowness=news.slowness, runs=news.runs)
+    def _record_speed(self, session: AgentSession, message: WorkerPace) -> None:
+        speed = WorkerSpeed(slowness=message.slowness, runs=message.runs)
         self._scheduler.note_speed(session.worker, speed)
         view = self._scheduler.workers.get(session.worker)
         log_event(
             "worker:speed",
             worker=session.worker,
-            told=news.slowness,
-            runs=news.runs,
+            told=message.slowness,
+            runs=message.runs,
             believed=view.kind_slowness if view else None,
         )
 
-    def _note_cut_short(self, session: AgentSession, news: RunCutShort) -> None:
-        row = news.run
-        report = CutShort(left_s=news.left_s, leaves_in_s=news.leaves_in_s)
+    def _record_departure_risk(self, session: AgentSession, message: RunCutShort) -> None:
+        row = message.run
+        report = CutShort(left_s=message.left_s, leaves_in_s=message.leaves_in_s)
         key = TaskKey(row.step, row.position)
         actions = self._scheduler.note_cut_short(
             session.worker, row.job, key, row.run, report, now=clock.monotonic()
         )
         self._apply(actions)
 
-    def _note_crash(self, news: Crashed) -> None:
-        """Take in a crash, and tell the peers of the tasks that this entry owns."""
-        own = tuple(row for row in news.tasks if row.job in self._scheduler.open_jobs)
+    def _handle_crash(self, message: Crashed) -> None:
+        """Handle a crash, and notify the peers of the crashed tasks that this entry owns."""
+        own = tuple(row for row in message.tasks if row.job in self._scheduler.open_jobs)
         if own:
-            self._tell_peers(Crashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
-        self._take_crash(news, is_hearsay=False)
+            self._notify_peers(Crashed(worker=message.worker, tasks=own, is_seen=message.is_seen))
+        self._record_crash(message, is_relayed=False)
 
-    def handle_relayed_reports(self, news: Crashed) -> None:
-        """Take in a crash that a peer tells of."""
-        self._take_crash(news, is_hearsay=True)
+    def handle_relayed_reports(self, message: Crashed) -> None:
+        """Handle a crash that a peer reports."""
+        self._record_crash(message, is_relayed=True)
 
     def make_relayed_reports(self) -> list[Crashed]:
-        """Return what is known of crashes, for a peer that was met."""
+        """Return the known crashes, to be sent to a new peer."""
         crashes = self._scheduler.list_crashes().items()
         return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
 
-    def _take_crash(self, news: Crashed, *, is_hearsay: bool) -> None:
+    def _record_crash(self, message: Crashed, *, is_relayed: bool) -> None:
         actions = self._scheduler.note_crash(
-            news.worker,
-            read_crashed(news),
+            message.worker,
+            read_crashed(message),
             now=clock.monotonic(),
-            is_seen=news.is_seen,
-            is_hearsay=is_hearsay,
+            is_seen=message.is_seen,
+            is_hearsay=is_relayed,
         )
         self._apply(actions)
 
-    def _end_run(self, session: AgentSession, news: RunEnded) -> None:
-        row = news.run
-        if news.reason in LOGGED_ENDS and row.job in self._scheduler.open_jobs:
+    def _handle_run_end(self, session: AgentSession, message: RunEnded) -> None:
+        row = message.run
+        if message.reason in LOGGED_END_REASONS and row.job in self._scheduler.open_jobs:
             log_event(
                 "run:ended",
                 job=row.job,
@@ -393,28 +403,28 @@
                 position=row.position,
                 run=row.run,
                 worker=session.worker,
-                reason=news.reason.value,
-                run_s=round(news.run_s, 3),
+                reason=message.reason.value,
+                run_s=round(message.run_s, 3),
             )
-        self._note_end(news, session.worker)
+        self._record_run_end(message, session.worker)
         actions = self._scheduler.end_run(
             session.worker,
             row.job,
             TaskKey(row.step, row.position),
             row.run,
-            news.reason,
-            run_s=news.run_s,
+            message.reason,
+            run_s=message.run_s,
             now=clock.monotonic(),
         )
         self._apply(actions)
 
-    def _report_slow(self, session: AgentSession, news: RunSlow) -> None:
-        row = news.run
+    def _handle_slow_run(self, session: AgentSession, message: RunSlow) -> None:
+        row = message.run
         report = SlowRun(
-            age_s=news.age_s,
-            total_s=news.total_s,
-            worker_pace=news.worker_pace,
-            is_stalled=news.is_stalled,
+            age_s=message.age_s,
+            total_s=message.total_s,
+            worker_pace=message.worker_pace,
+            is_stalled=message.is_stalled,
         )
         key = TaskKey(row.step, row.position)
         now = clock.monotonic()
@@ -429,9 +439,9 @@
                 step=row.step,
                 position=row.position,
                 worker=session.worker,
-                age_s=news.age_s,
-                total_s=news.total_s,
-                worker_pace=news.worker_pace,
-                is_stalled=news.is_stalled,
+                age_s=message.age_s,
+                total_s=message.total_s,
+                worker_pace=message.worker_pace,
+                is_stalled=message.is_stalled,
             )
         self._apply(actions)
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -343,7 +343,7 @@
         return result
 
     def _apply_announced_claim(self, session: PeerSession, member: Member, job_id: str) -> None:
-        """Keep a claim that a peer announces, and ask the peer to yield if the id is owned twice."""
+        """Keep a claim that a peer announces. Ask the peer to yield if the id has another owner."""
         is_new = self._peer_claims.note_told(job_id, member.incarnation)
         held = self._peer_claims.find_other(job_id, member.incarnation, now=clock.monotonic())
         if is_new and (held is not None or self._own_jobs.is_active(job_id)):
--- a/dalemast/fleet/entry/configuration.py
+++ b/dalemast/fleet/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at one entry. Within a life its version never goes down."""
+"""The configuration in force at an entry. Its version never decreases within an incarnation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ConfigurationInForce:
-    """Holds the newest configuration, whoever brought it."""
+    """Holds the newest configuration, whatever its source."""
 
     def __init__(self) -> None:
         self._current: Configuration | None = None
@@ -21,22 +21,22 @@
 
     @property
     def current(self) -> Configuration | None:
-        """The newest configuration, if there is one."""
+        """The newest configuration, or None before the first one."""
         return self._current
 
     @property
     def table(self) -> QueueTable:
-        """The look-up table; raises :class:`QueuesUnknown` before the first configuration."""
+        """The queue table. Raises :class:`QueuesUnknown` before the first configuration."""
         if self._table is None:
             raise QueuesUnknown("no configuration has reached this entry yet", retry_after_s=0.5)
         return self._table
 
     def on_change(self, listener: Callable[[Configuration], None]) -> None:
-        """Call a function with each new configuration."""
+        """Register a function to be called with each new configuration."""
         self._listeners.append(listener)
 
     def offer(self, configuration: Configuration, *, source: str) -> None:
-        """Take a configuration if it is newer than what is in force."""
+        """Put a configuration in force if it is newer than the current one."""
         known = -1 if self._current is None else self._current.version
         if configuration.version <= known:
             return
--- a/dalemast/fleet/entry/configuration_exchange.py
+++ b/dalemast/fleet/entry/configuration_exchange.py
@@ -1,4 +1,4 @@
-"""How entries bring one another up to the newest configuration, beside the store."""
+"""Exchange of configurations between entries, in addition to the store."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 class ConfigurationExchange:
-    """Tells peers the version alone, and gives or asks for the whole when one lacks it.
+    """Announces the version in force to peers, and requests or sends whole configurations.
 
-    ``dialled`` are the links to peers by name; their keeper adds to them and takes away. Versions
-    are told, asked for and given on those links and on the peers' own alike.
+    ``dialled`` holds the dialled links by the name of the peer; the caller keeps it up to date.
+    Announcements, requests and configurations are sent on dialled and accepted links alike.
     """
 
     def __init__(
@@ -39,78 +39,78 @@
         self._missing = MissingVersion()
         self._copies = CopyLimit()
         self._encoded = b""
-        """The configuration in force as a message, encoded once for all peers."""
+        """The configuration in force as an encoded message, shared by all peers."""
 
     def start(self) -> None:
-        """Tell all peers of each new version."""
-        self._configuration.on_change(self._tell_all)
+        """Announce each new version to all peers from now on."""
+        self._configuration.on_change(self._announce_to_all)
 
-    def greet(self, session: PeerSession) -> None:
-        """Tell the version that is in force here, if there is one."""
+    def announce(self, session: PeerSession) -> None:
+        """Announce the version in force, if there is one, on a new link."""
         current = self._configuration.current
         if current is not None:
-            session.link.send(self._make_version_news(current))
+            session.link.send(self._make_announcement(current))
 
-    def handle_version(self, session: PeerSession, news: VersionNews) -> None:
-        """Take in which version a peer has."""
+    def handle_version(self, session: PeerSession, message: VersionNews) -> None:
+        """Handle a peer's announcement of its version."""
         name = session.name
         if not name:
             return
         self._copies.note_arrived(name)
-        self._missing.note_peer(name, news.version, news.size_bytes, now=clock.monotonic())
+        self._missing.note_peer(name, message.version, message.size_bytes, now=clock.monotonic())
 
-    def send_configuration(self, session: PeerSession, ask: ConfigurationAsk) -> None:
-        """Send the configuration to a peer that lacks it, or say that others come first.
+    def send_configuration(self, session: PeerSession, request: ConfigurationAsk) -> None:
+        """Send the configuration to a peer that requested it, or defer the peer.
 
-        It may be of megabytes, which is too much for an agent to relay.
+        Configurations are not sent on relayed links, as they may be megabytes in size.
         """
         current = self._configuration.current
-        if current is None or current.version < ask.version or session.is_relayed:
+        if current is None or current.version < request.version or session.is_relayed:
             return
         copy_s = get_copy_s(len(self._encoded))
         if not self._copies.take(session.name, now=clock.monotonic(), copy_s=copy_s):
-            session.link.send(ConfigurationLater(version=ask.version))
+            session.link.send(ConfigurationLater(version=request.version))
             return
         log_event("configuration:given", peer=session.name, version=current.version)
         session.link.send(msgspec.Raw(self._encoded))
 
     def handle_deferred(self, session: PeerSession) -> None:
-        """Note that a peer gives the configuration to others first."""
+        """Record that a peer has deferred the request for its configuration."""
         self._missing.note_later(session.name, now=clock.monotonic())
 
-    def handle_configuration(self, session: PeerSession, news: ConfigurationNews) -> None:
-        """Take in a configuration that a peer sent."""
-        offered = Configuration(version=news.version, queues=news.queues)
+    def handle_configuration(self, session: PeerSession, message: ConfigurationNews) -> None:
+        """Offer a configuration that a peer has sent."""
+        offered = Configuration(version=message.version, queues=message.queues)
         self._configuration.offer(offered, source=session.name or "peer")
 
-    def forget(self, name: str) -> None:
-        """Note that a peer is out of reach."""
+    def remove_peer(self, name: str) -> None:
+        """Remove a peer that is unreachable."""
         self._missing.forget_peer(name)
         self._copies.note_arrived(name)
 
     def tick(self, now: float) -> None:
-        """Ask a peer for the version that is missing here, if that is due."""
-        ask = self._missing.take_due(now=now, draw=random.random())
-        if ask is None:
+        """Request a missing version from a peer if a request is due."""
+        request = self._missing.take_due(now=now, draw=random.random())
+        if request is None:
             return
-        session = self._dialled.get(ask.peer)
+        session = self._dialled.get(request.peer)
         if session is None or session.is_relayed:
-            # Its version came by the link that it has dialled; the own one is about to follow.
-            self._missing.note_later(ask.peer, now=now)
+            # The announcement came on the accepted link; the dialled one is not open yet.
+            self._missing.note_later(request.peer, now=now)
             return
-        log_event("configuration:asked", peer=ask.peer, version=ask.version)
-        session.link.send(ConfigurationAsk(version=ask.version))
+        log_event("configuration:asked", peer=request.peer, version=request.version)
+        session.link.send(ConfigurationAsk(version=request.version))
 
-    def _tell_all(self, configuration: Configuration) -> None:
+    def _announce_to_all(self, configuration: Configuration) -> None:
         message = ConfigurationNews(version=configuration.version, queues=configuration.queues)
         self._encoded = encode_message(message)
         self._missing.note_own(configuration.version)
-        _send_all(self._dialled.values(), self._make_version_news(configuration))
+        _send_all(self._dialled.values(), self._make_announcement(configuration))
 
-    def _make_version_news(self, configuration: Configuration) -> VersionNews:
+    def _make_announcement(self, configuration: Configuration) -> VersionNews:
         return VersionNews(version=configuration.version, size_bytes=len(self._encoded))
 
 
-def _send_all(sessions: Iterable[PeerSession], news: VersionNews) -> None:
+def _send_all(sessions: Iterable[PeerSession], message: VersionNews) -> None:
     for session in sessions:
-        session.link.send(news)
+        session.link.send(message)
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -1,4 +1,4 @@
-"""What entries tell one another of the work that waits with them."""
+"""Exchange of queued demand between entries."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 __all__ = ["DemandExchange"]
 
-LOG_PAUSE_S = 1.0
-"""Shortest pause between two log lines of one kind; words come many times as often."""
+LOG_INTERVAL_S = 1.0
+"""Minimum interval between two log lines of one event, as reports are far more frequent."""
 
 
 class DemandExchange:
-    """Tells peers what waits here, on this entry's own links, and takes their words in.
+    """Reports this entry's queued work to its peers, and handles their reports.
 
-    Nothing is told or believed unless ``is_on``.
+    Reports are neither sent nor used unless ``is_on``.
     """
 
     def __init__(self, *, scheduler: Scheduler, is_on: bool, metrics: Metrics) -> None:
@@ -32,41 +32,41 @@
         self._is_on = is_on
         self._metrics = metrics
         self._names: dict[str, str] = {}
-        """Names of the entries whose words were taken, by incarnation, while they are in reach."""
+        """Names of the reachable entries that have sent reports, by incarnation."""
         self._logged_at: dict[str, float] = {}
 
     def tick(self, sessions: Collection[PeerSession], *, beat_s: float, now: float) -> None:
-        """Tell the peers that should hear now what waits; drop words that have faded.
+        """Send reports to the peers for which one is due, and drop expired reports.
 
-        ``beat_s`` is the pause between beats to a peer. A word is renewed as often, so that its
-        renewals need no frames of their own.
+        ``beat_s`` is the interval between heartbeats to a peer. Reports are renewed at the same
+        interval, so that renewals need no frames of their own.
         """
         if not self._is_on:
             return
-        self._drop_faded(beat_s, now)
-        words = self._scheduler.get_demand(now=now)
+        self._drop_expired(beat_s, now)
+        summaries = self._scheduler.get_demand(now=now)
         news_pause_s = get_news_pause_s(len(sessions))
         due = [
             session
             for session in sessions
             if session.demand.is_due(
-                words, now=now, news_pause_s=news_pause_s, renewal_pause_s=beat_s
+                summaries, now=now, news_pause_s=news_pause_s, renewal_pause_s=beat_s
             )
         ]
         if not due:
             return
-        news = msgspec.Raw(encode_message(_make_news(words)))
+        message = msgspec.Raw(encode_message(_make_report(summaries)))
         for session in due:
-            session.demand.note_told(words, now=now)
-            session.link.send(news)
+            session.demand.note_told(summaries, now=now)
+            session.link.send(message)
         self._metrics.count("demand.told", len(due))
-        self._log_waiting(words, now)
+        self._log_waiting(summaries, now)
 
-    def handle_report(self, member: Member, news: DemandNews) -> None:
-        """Take in all that waits at a peer."""
+    def handle_report(self, member: Member, message: DemandNews) -> None:
+        """Handle a peer's report of all its queued work."""
         if not self._is_on:
             return
-        words = tuple(
+        summaries = tuple(
             LoadWord(
                 service=row.service,
                 priority=row.priority,
@@ -74,87 +74,87 @@
                 jobs=row.jobs,
                 core_s=row.core_s,
             )
-            for row in news.rows
+            for row in message.rows
         )
         now = clock.monotonic()
         self._names[member.incarnation] = member.name
-        if self._scheduler.note_demand(member.incarnation, words, now=now):
+        if self._scheduler.note_demand(member.incarnation, summaries, now=now):
             self._metrics.count("demand.heard")
             return
         self._metrics.count("demand.absurd")
         if self._may_log("demand:absurd", now):
-            log_event("demand:absurd", peer=member.name, rows=len(words))
+            log_event("demand:absurd", peer=member.name, rows=len(summaries))
 
-    def forget(self, incarnation: str) -> None:
-        """Note that a peer is out of reach."""
+    def remove_peer(self, incarnation: str) -> None:
+        """Remove the report of a peer that is unreachable."""
         self._names.pop(incarnation, None)
         self._scheduler.forget_demand(incarnation)
 
     def get_state(self) -> dict[str, object]:
-        """Return the dump: what waits here, and at each other entry by its last word."""
+        """Return the queued work here, and at each other entry by its last report."""
         now = clock.monotonic()
         return {
-            "own": [_describe(word) for word in self._scheduler.get_demand(now=now)],
+            "own": [_describe(summary) for summary in self._scheduler.get_demand(now=now)],
             "heard": {
-                self._names.get(heard.entry, heard.entry): {
-                    "incarnation": heard.entry,
-                    "age_s": round(heard.age_s, 3),
-                    "words": [_describe(word) for word in heard.words],
+                self._names.get(peer.entry, peer.entry): {
+                    "incarnation": peer.entry,
+                    "age_s": round(peer.age_s, 3),
+                    "words": [_describe(summary) for summary in peer.words],
                 }
-                for heard in self._scheduler.demand.list_heard(now)
+                for peer in self._scheduler.demand.list_heard(now)
             },
         }
 
-    def _drop_faded(self, beat_s: float, now: float) -> None:
-        book = self._scheduler.demand
-        book.set_pause(beat_s)
-        faded = book.sweep(now)
-        if not faded:
+    def _drop_expired(self, beat_s: float, now: float) -> None:
+        tracker = self._scheduler.demand
+        tracker.set_pause(beat_s)
+        expired = tracker.sweep(now)
+        if not expired:
             return
-        self._metrics.count("demand.faded", len(faded))
+        self._metrics.count("demand.faded", len(expired))
         if self._may_log("demand:faded", now):
-            names = [self._names.get(entry, entry) for entry in faded]
+            names = [self._names.get(entry, entry) for entry in expired]
             log_event("demand:faded", peers=names)
 
-    def _log_waiting(self, words: tuple[LoadWord, ...], now: float) -> None:
+    def _log_waiting(self, summaries: tuple[LoadWord, ...], now: float) -> None:
         if not self._may_log("demand:waiting", now):
             return
-        heard = self._scheduler.demand.list_heard(now)
+        peers = self._scheduler.demand.list_heard(now)
         log_event(
             "demand:waiting",
-            own=[_describe(word) for word in words],
-            entries=len(heard),
-            core_s=round(sum(word.core_s for row in heard for word in row.words), 2),
-            oldest_s=round(max((row.age_s for row in heard), default=0.0), 3),
+            own=[_describe(summary) for summary in summaries],
+            entries=len(peers),
+            core_s=round(sum(summary.core_s for peer in peers for summary in peer.words), 2),
+            oldest_s=round(max((peer.age_s for peer in peers), default=0.0), 3),
         )
 
     def _may_log(self, event: str, now: float) -> bool:
-        """Tell whether a line of this kind may be written again, and count it as written."""
-        if now - self._logged_at.get(event, float("-inf")) < LOG_PAUSE_S:
+        """Return whether an event may be logged again, and record it as logged if so."""
+        if now - self._logged_at.get(event, float("-inf")) < LOG_INTERVAL_S:
             return False
         self._logged_at[event] = now
         return True
 
 
-def _make_news(words: tuple[LoadWord, ...]) -> DemandNews:
+def _make_report(summaries: tuple[LoadWord, ...]) -> DemandNews:
     return DemandNews(
         rows=tuple(
             DemandRow(
-                service=word.service,
-                priority=word.priority,
-                jobs=word.jobs,
-                core_s=round(word.core_s, 2),
+                service=summary.service,
+                priority=summary.priority,
+                jobs=summary.jobs,
+                core_s=round(summary.core_s, 2),
             )
-            for word in words
+            for summary in summaries
         )
     )
 
 
-def _describe(word: LoadWord) -> dict[str, object]:
-    """Return a word's row for operators."""
+def _describe(summary: LoadWord) -> dict[str, object]:
+    """Return the fields of a summary for logs and for operators."""
     return {
-        "service": word.service,
-        "priority": word.priority,
-        "jobs": word.jobs,
-        "core_s": round(word.core_s, 2),
+        "service": summary.service,
+        "priority": summary.priority,
+        "jobs": summary.jobs,
+        "core_s": round(summary.core_s, 2),
     }
--- a/dalemast/fleet/entry/peer_sessions.py
+++ b/dalemast/fleet/entry/peer_sessions.py
@@ -1,4 +1,4 @@
-"""The links between entries, as this entry sees each one."""
+"""The session of an entry on a link with another entry."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 
 
 class PeerSessionHandler(Protocol):
-    """Takes what happens on a link."""
+    """Handles the messages and the end of a link."""
 
     def handle_message(self, session: PeerSession, message: PeerMessage) -> None:
-        """Take in one message."""
+        """Handle a message."""
 
     def end_session(self, session: PeerSession) -> None:
-        """Note that a link has ended."""
+        """Close a link."""
 
 
 class PeerSession:
-    """One link with another entry, dialled or accepted."""
+    """The session on a link with another entry, dialled or accepted."""
 
     def __init__(
         self,
@@ -38,25 +38,25 @@
         self.opened_at = clock.monotonic()
         self.is_dialled = is_dialled
         self.is_relayed = is_relayed
-        """Whether an agent passes its frames on, for lack of a connection."""
+        """Whether an agent relays the frames, as there is no direct connection."""
         self.member: Member | None = None
         self.is_ending = False
         self.announced_ids: tuple[str, ...] = ()
-        """The ids that this entry's own greeting told as claimed."""
+        """The claimed ids that this entry announced in its greeting."""
         self.demand = DemandAudience()
-        """What the other entry was told on this link of the work that waits."""
+        """The queued demand that was reported to the other entry on this link."""
         self._links = links
 
     @property
     def name(self) -> str:
-        """The other entry's name, or an empty text before its greeting."""
+        """The other entry's name, or an empty string before its greeting."""
         return self.member.name if self.member else ""
 
     def receive(self, messages: list[PeerMessage]) -> None:
-        """Take in a frame."""
+        """Handle the messages of a frame."""
         for message in messages:
             self._links.handle_message(self, message)
 
     def close(self) -> None:
-        """Note that the link has ended."""
+        """Handle the end of the link."""
         self._links.end_session(self)
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -1,7 +1,7 @@
-"""The entry's links with other entries; they carry claims, declarations, members and demand.
+"""The links of an entry with other entries: they carry claims, declarations, members and demand.
 
-Each entry dials every other one. Its own link carries its claims; the other's link carries theirs.
-While two entries can't reach each other, agents that hear both relay these links for them.
+Each entry dials every other one, and sends its claims on the links that it has dialled. While two
+entries can't reach each other, agents that reach both relay these links for them.
 """
 
 from __future__ import annotations
@@ -44,20 +44,20 @@
 
 __all__ = ["PeerLinks"]
 
-BEAT_S = 0.2
-"""Shortest pause between beats to another entry."""
-BEATS_PER_S = 40
-"""Beats that an entry sends in a second, to all others together. With more than eight of them the
-pause grows, since the beats of a whole fleet of entries grow with their square."""
-SILENT_BEATS = 2.5
-"""Pauses between beats after which an entry counts as silent: two misses and some."""
+MIN_BEAT_S = 0.2
+"""Minimum interval between heartbeats to another entry."""
+MAX_BEATS_PER_S = 40
+"""Maximum rate of heartbeats to all other entries together. It lengthens the interval in large
+fleets, where heartbeats would otherwise grow with the square of the number of entries."""
+LIVENESS_TIMEOUT_BEATS = 2.5
+"""Heartbeat intervals without a message after which an entry counts as unresponsive."""
 MIN_UNHEARD_LINK_AGE_S = 1.0
-"""Age from which an own link is given up when the other entry says that it hears nothing on it.
-A younger one may have its first message still under way."""
+"""Minimum age of a dialled link that is closed because the other entry reports that it receives
+nothing on it. On a younger link the first message may still be in flight."""
 
 
 class PeerLinks:
-    """All other entries."""
+    """The links of this entry with all other entries."""
 
     def __init__(
         self,
@@ -78,20 +78,20 @@
         self._evacuations = evacuations
         self._times = times
         self._jobs = jobs
-        self._tell_agents = notify_agents
-        self._take_crash = handle_crash
+        self._notify_agents = notify_agents
+        self._handle_crash = handle_crash
         self._make_crashes = make_crashes
         self._demand = demand
         self._dialers: dict[str, Dialer] = {}
         self._dialled: dict[str, PeerSession] = {}
         self._accepted: dict[str, PeerSession] = {}
         self._sessions: set[PeerSession] = set()
-        self._met: set[str] = set()
-        """Names of the entries that have greeted; one that is lost after that is looked for."""
+        self._greeted: set[str] = set()
+        """Names of the entries that have sent a greeting."""
         self._lost_owners: dict[str, Member] = {}
-        """Peers whose own link ended without a goodbye, and that agents may hear all the same."""
-        self._alone_since: float | None = None
-        """Since when no agent answers while a peer is lost, or None."""
+        """Peers lost without a goodbye, by incarnation. Agents may still reach them."""
+        self._isolated_since: float | None = None
+        """Since when no agent responds while a peer is lost, or None."""
         self._configuration_exchange = ConfigurationExchange(
             configuration=configuration, dialled=self._dialled
         )
@@ -110,39 +110,39 @@
 
     @property
     def peers(self) -> list[str]:
-        """Names of the entries in reach."""
+        """Names of the reachable entries."""
         return sorted(self._dialled)
 
     @property
     def claims(self) -> JobClaims:
-        """The claims on job ids that these links carry."""
+        """The claims on job ids, which use these links."""
         return self._claims
 
     @property
     def is_isolated(self) -> bool:
-        """Whether this entry has reached neither agents nor a peer that it had for a while.
+        """Whether no agent has responded for a while although a peer is lost.
 
-        The others may count it as gone, and then they grant its ids once its claims have lapsed.
-        That is later by :attr:`FleetTimes.lost_run_s`; as it gives its jobs up after less than half
-        of that, the two can't meet, though they may notice a cut some tenths of a second apart.
+        The other entries may then treat this one as gone, and grant its ids once its claims have
+        lapsed, after :attr:`FleetTimes.lost_run_s`. This entry drops its jobs in less than half
+        that time, so that no job runs on both sides.
         """
-        since = self._alone_since
+        since = self._isolated_since
         return since is not None and clock.monotonic() - since >= self._times.silence_s
 
     @property
     def routes(self) -> PeerRoutes:
-        """The ways to entries that can't be reached directly."""
+        """The routes to entries that can't be reached directly."""
         return self._routes
 
     def start(self) -> None:
-        """Dial every entry that is known now or later."""
+        """Dial all known entries, and those that become known later."""
         for address in self._book.addresses:
             self._dial(address)
         self._book.on_address(self._dial)
         self._configuration_exchange.start()
 
     def stop(self) -> None:
-        """Say goodbye and end all links."""
+        """Send a goodbye on all links, and stop dialling."""
         for session in self._sessions:
             session.link.send(Bye())
             session.link.flush()
@@ -150,15 +150,15 @@
             dialer.stop()
 
     def accept(self, link: Link) -> PeerSession:
-        """Greet an entry that opened a link."""
+        """Start a session on a link that another entry has opened."""
         return self._open(link, is_dialled=False)
 
     def open_relayed(self, link: RelayedLink, *, is_dialled: bool) -> PeerSession:
-        """Greet an entry on a link that an agent relays."""
+        """Start a session on a link that an agent relays."""
         return self._open(link, is_dialled=is_dialled, is_relayed=True)
 
     def handle_routes_changed(self) -> None:
-        """Let the claims lapse of lost entries that no agent hears."""
+        """Let the claims of lost entries lapse once no agent reaches them."""
         for incarnation, member in list(self._lost_owners.items()):
             if self._routes.is_gone(incarnation):
                 del self._lost_owners[incarnation]
@@ -166,39 +166,40 @@
                 self._claims.record_owner_lost(member)
 
     def send_evacuations(self, _: Evacuations) -> None:
-        """Tell all entries what is evacuated by now; the store may turn some of them away."""
-        news = self._evacuations.make_news()
+        """Send the evacuations in force to all entries; some may have no access to the store."""
+        message = self._evacuations.make_news()
         for session in self._dialled.values():
-            session.link.send(news)
+            session.link.send(message)
 
     def send_crash(self, crashed: Crashed) -> None:
-        """Tell all entries of tasks here under which a worker has crashed.
+        """Send a crash to all entries, with the tasks of this entry that ran on the worker.
 
-        The caller may ask any of them next, and not every one has a link with that worker's agent.
+        The caller may submit the job to any of them next, and not all have links with the agent of
+        that worker.
         """
         for session in self._dialled.values():
             session.link.send(crashed)
 
     def add_members(self, members: Iterable[Member]) -> None:
-        """Take in entries, and pass on those that are news."""
-        news = self._book.learn(members)
-        if not news:
+        """Add entries to the address book, and forward the new ones to peers and agents."""
+        new_members = self._book.learn(members)
+        if not new_members:
             return
         for session in self._dialled.values():
-            session.link.send(MemberNews(members=tuple(to_row(member) for member in news)))
-        self._tell_agents(news)
+            session.link.send(MemberNews(members=tuple(to_row(member) for member in new_members)))
+        self._notify_agents(new_members)
 
     def handle_message(self, session: PeerSession, message: PeerMessage) -> None:
-        """Take in one message."""
+        """Handle a message from another entry."""
         match message:
             case PeerHello():
                 self._greet(session, message)
             case MemberNews():
                 self.add_members([to_member(row) for row in message.members])
             case EvacuationNews():
-                self._take_evacuations(session, message)
+                self._handle_evacuations(session, message)
             case VersionNews():
-                self._take_version(session, message)
+                self._handle_version(session, message)
             case ConfigurationAsk():
                 self._configuration_exchange.send_configuration(session, message)
             case ConfigurationLater():
@@ -214,69 +215,69 @@
             case Yield():
                 self._claims.handle_yield(session, message)
             case Crashed():
-                self._take_crash(message)
+                self._handle_crash(message)
             case DemandNews():
-                self._take_demand(session, message)
+                self._handle_demand(session, message)
             case Bye():
                 session.is_ending = True
             case Beat():
-                self._check_own_link(session, is_heard=message.hears_other)
+                self._check_dialled_link(session, is_received=message.hears_other)
 
     def end_session(self, session: PeerSession) -> None:
-        """Note that a link has ended."""
+        """Close a link and handle its loss."""
         session.link.reset()
         self._sessions.discard(session)
         member = session.member
         if member is None:
             return
         if session.is_dialled and self._dialled.get(member.name) is session:
-            self._lose_dialled(session, member)
+            self._handle_dialled_lost(session, member)
         if not session.is_dialled and self._accepted.get(member.incarnation) is session:
-            self._lose_accepted(session, member)
+            self._handle_accepted_lost(session, member)
 
     def note_process_pause(self) -> None:
-        """Meet the others anew after this process stood still; they may have given it up."""
-        self._met.clear()
+        """Require new greetings after a pause of this process, as peers may have dropped it."""
+        self._greeted.clear()
         self._claims.note_process_pause()
 
     def reset_liveness_timers(self, late_s: float) -> None:
-        """Take a time in which this entry did not listen off the silence of all others."""
+        """Exclude a time in which this process was late from the liveness timers of all links."""
         for session in self._sessions:
             session.link.forgive(late_s)
 
     def tick(self, now: float) -> None:
-        """Send beats, give up silent links, forget owners that are gone."""
-        beat_s = max(BEAT_S, len(self._dialled) / BEATS_PER_S)
+        """Send heartbeats, close unresponsive links, and remove owners that are gone."""
+        beat_s = max(MIN_BEAT_S, len(self._dialled) / MAX_BEATS_PER_S)
         self._demand.tick(self._dialled.values(), beat_s=beat_s, now=now)
         for session in list(self._sessions):
-            hears_other = self._hears_on_accepted(session, now, beat_s)
-            # What a busy link carries stands for its beats, but does not tell of the other link.
+            hears_other = self._receives_on_accepted(session, now, beat_s)
+            # Other messages replace heartbeats, but don't report a failure of the other link.
             is_due = now - session.link.sent_at >= beat_s or not hears_other
             if is_due and self._carries_beats(session):
                 session.link.send(Beat(hears_other=hears_other))
-            if now - self._get_heard_at(session) > SILENT_BEATS * beat_s:
+            if now - self._get_last_received_at(session) > LIVENESS_TIMEOUT_BEATS * beat_s:
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
         self._routes.tick(now)
         self.handle_routes_changed()
-        self._note_alone(now)
+        self._update_isolation(now)
         self._claims.sweep(now)
         self._configuration_exchange.tick(now)
 
-    def _take_demand(self, session: PeerSession, news: DemandNews) -> None:
-        """Take in what waits at a peer, if it comes by the link that the peer uses now."""
+    def _handle_demand(self, session: PeerSession, message: DemandNews) -> None:
+        """Handle a peer's report of queued work, unless it arrives on a replaced link."""
         member = session.member
         if member is not None and self._accepted.get(member.incarnation) is session:
-            self._demand.handle_report(member, news)
+            self._demand.handle_report(member, message)
 
-    def _note_alone(self, now: float) -> None:
+    def _update_isolation(self, now: float) -> None:
         if self._routes.has_agent_response or not self._claims.has_lost_peers:
-            self._alone_since = None
-        elif self._alone_since is None:
-            self._alone_since = now
+            self._isolated_since = None
+        elif self._isolated_since is None:
+            self._isolated_since = now
 
-    def _lose_dialled(self, session: PeerSession, member: Member) -> None:
-        """Note that an own link has ended, which carried this entry's claims."""
+    def _handle_dialled_lost(self, session: PeerSession, member: Member) -> None:
+        """Handle the loss of a dialled link, which carried this entry's claims."""
         del self._dialled[member.name]
         log_event(
             "peer:lost",
@@ -284,15 +285,15 @@
             is_planned=session.is_ending,
             is_relayed=session.is_relayed,
         )
-        self._configuration_exchange.forget(member.name)
+        self._configuration_exchange.remove_peer(member.name)
         self._claims.suspect_home(member, is_planned=session.is_ending)
         self._claims.cancel_pending(session)
         if not session.is_ending:
             self._routes.suspect(member.incarnation)
         self._claims.announce_all()
 
-    def _lose_accepted(self, session: PeerSession, member: Member) -> None:
-        """Note that a peer's link has ended; it may have another one by way of an agent."""
+    def _handle_accepted_lost(self, session: PeerSession, member: Member) -> None:
+        """Handle the loss of an accepted link. The peer may have another one that is relayed."""
         others = [
             other
             for other in self._sessions
@@ -302,40 +303,42 @@
             self._accepted[member.incarnation] = others[0]
             return
         del self._accepted[member.incarnation]
-        self._demand.forget(member.incarnation)
+        self._demand.remove_peer(member.incarnation)
         if session.is_ending:
             self._claims.record_owner_lost(member)
             return
         self._lost_owners[member.incarnation] = member
         self._routes.suspect(member.incarnation)
 
-    def _hears_on_accepted(self, session: PeerSession, now: float, beat_s: float) -> bool:
-        """Tell whether the entry at the other end is heard on the link that it has dialled."""
+    def _receives_on_accepted(self, session: PeerSession, now: float, beat_s: float) -> bool:
+        """Return whether the entry at the other end is received on the link that it has dialled."""
         member = session.member
         accepted = None if member is None else self._accepted.get(member.incarnation)
-        return accepted is not None and now - accepted.link.heard_at <= SILENT_BEATS * beat_s
+        return (
+            accepted is not None and now - accepted.link.heard_at <= LIVENESS_TIMEOUT_BEATS * beat_s
+        )
 
-    def _check_own_link(self, session: PeerSession, *, is_heard: bool) -> None:
-        """Dial an entry anew that does not hear this one though its own link works.
+    def _check_dialled_link(self, session: PeerSession, *, is_received: bool) -> None:
+        """Close the dialled link if the other entry receives nothing on it. It is then redialled.
 
-        A connection can fall silent alone. Its claims would go unanswered for as long as the
-        other link kept both ends in reach.
+        One connection may stop working while the other still shows both entries as reachable.
+        Claims sent on the broken one would stay unanswered.
         """
-        own = None if session.member is None else self._dialled.get(session.member.name)
-        if is_heard or session.is_dialled or own is None:
+        dialled = None if session.member is None else self._dialled.get(session.member.name)
+        if is_received or session.is_dialled or dialled is None:
             return
-        if clock.monotonic() - own.opened_at < MIN_UNHEARD_LINK_AGE_S:
+        if clock.monotonic() - dialled.opened_at < MIN_UNHEARD_LINK_AGE_S:
             return
-        log_event("peer:deaf", peer=own.member.name if own.member else "")
-        self.end_session(own)
+        log_event("peer:deaf", peer=dialled.member.name if dialled.member else "")
+        self.end_session(dialled)
 
     def _carries_beats(self, session: PeerSession) -> bool:
-        """Tell whether beats go out here: of two links with one entry, on the dialled one."""
+        """Return whether heartbeats are sent on a link: of two with one entry, the dialled one."""
         member = session.member
         return session.is_dialled or member is None or member.name not in self._dialled
 
-    def _get_heard_at(self, session: PeerSession) -> float:
-        """Return when the entry at the other end was last heard, on either of its links."""
+    def _get_last_received_at(self, session: PeerSession) -> float:
+        """Return when a message was last received from an entry, on either of its links."""
         heard_at = session.link.heard_at
         member = session.member
         if member is None:
@@ -362,24 +365,24 @@
         self._sessions.add(session)
         session.announced_ids = tuple(self._jobs.get_claimed_ids())
         link.send(PeerHello(member=to_row(self._member), jobs=session.announced_ids))
-        self._tell_declarations(session)
+        self._send_declarations(session)
         return session
 
-    def _tell_declarations(self, session: PeerSession) -> None:
-        """Tell what operators have declared: evacuations, and the configuration's version.
+    def _send_declarations(self, session: PeerSession) -> None:
+        """Send the operators' declarations: evacuations, and the version of the configuration.
 
-        In this order: with its first configuration a young entry begins to serve callers.
+        The evacuations go first, since an entry serves callers once it has a configuration.
         """
         evacuations = self._evacuations.make_news()
         if evacuations is not None:
             session.link.send(evacuations)
         if not session.is_relayed:
-            self._configuration_exchange.greet(session)
+            self._configuration_exchange.announce(session)
 
     def _greet(self, session: PeerSession, hello: PeerHello) -> None:
         member = to_member(hello.member)
         session.member = member
-        self._met.add(member.name)
+        self._greeted.add(member.name)
         self.add_members([member])
         session.link.send(MemberNews(members=tuple(to_row(m) for m in self._book.members)))
         self._claims.handle_open_ids(session, hello.jobs)
@@ -390,15 +393,15 @@
             self._greet_accepted(session, member)
 
     def _greet_dialled(self, session: PeerSession, member: Member) -> None:
-        before = self._dialled.get(member.name)
-        if before is not None and session.is_relayed and not before.is_relayed:
+        previous = self._dialled.get(member.name)
+        if previous is not None and session.is_relayed and not previous.is_relayed:
             self.end_session(session)
             return
         self._dialled[member.name] = session
-        # Changes since the link opened were told to greeted entries alone.
-        self._tell_declarations(session)
+        # Changes since the link was opened have been sent to greeted entries only.
+        self._send_declarations(session)
         for crashed in self._make_crashes():
-            # A peer that began anew may be asked for a job that has cost workers before.
+            # A restarted peer may receive a job whose tasks have crashed workers before.
             session.link.send(crashed)
         log_event(
             "peer:link",
@@ -406,33 +409,33 @@
             peers=len(self._dialled),
             is_relayed=session.is_relayed,
         )
-        if before is not None and before is not session:
-            self.end_session(before)
+        if previous is not None and previous is not session:
+            self.end_session(previous)
         self._claims.announce_all()
 
     def _greet_accepted(self, session: PeerSession, member: Member) -> None:
         self._lost_owners.pop(member.incarnation, None)
         self._claims.record_owner_back(member)
-        before = self._accepted.get(member.incarnation)
-        if before is not None and session.is_relayed and not before.is_relayed:
-            # It takes the place of the other once that has ended.
+        previous = self._accepted.get(member.incarnation)
+        if previous is not None and session.is_relayed and not previous.is_relayed:
+            # The relayed link replaces the direct one once that has ended.
             return
         self._accepted[member.incarnation] = session
-        if before is not None and before is not session and not before.is_relayed:
-            self.end_session(before)
+        if previous is not None and previous is not session and not previous.is_relayed:
+            self.end_session(previous)
 
-    def _take_version(self, session: PeerSession, news: VersionNews) -> None:
-        """Take in a version, unless it could come by way of an agent alone."""
+    def _handle_version(self, session: PeerSession, message: VersionNews) -> None:
+        """Handle a version, unless it comes on a relayed link, which carries no configurations."""
         if not session.is_relayed:
-            self._configuration_exchange.handle_version(session, news)
+            self._configuration_exchange.handle_version(session, message)
 
-    def _take_evacuations(self, session: PeerSession, news: EvacuationNews) -> None:
-        answer = self._evacuations.take(news, source=session.name or "peer")
-        if answer is not None:
-            session.link.send(answer)
+    def _handle_evacuations(self, session: PeerSession, message: EvacuationNews) -> None:
+        response = self._evacuations.take(message, source=session.name or "peer")
+        if response is not None:
+            session.link.send(response)
 
     def _has_all_greetings(self) -> bool:
-        """Tell whether every entry that is known has said which jobs it has."""
+        """Return whether all known entries have sent a greeting, and their claims with it."""
         known = {member.name for member in self._book.members}
         greeted = {s.member.name for s in self._sessions if s.member is not None}
-        return bool(known) and known <= greeted | self._met
+        return bool(known) and known <= greeted | self._greeted
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -1,4 +1,4 @@
-"""The process of an entry: puts its parts together and keeps its clock."""
+"""The process of an entry: creates its components and runs their periodic work."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 
 __all__ = ["FleetEntryProcess"]
 
-BALANCER_S = 2.3
-"""How long after a planned stop begins new connections may still arrive: the balancer asks for
-readiness once a second and leaves an entry out after two misses."""
+BALANCER_DELAY_S = 2.3
+"""How long new connections may still arrive after a planned stop has begun: the load balancer polls
+readiness once a second and removes an entry after two failures."""
 DRAINING_RETRY_S = 0.1
-"""When a caller that is refused during a planned stop may come back, to another entry."""
-STOPS_S = 0.1
-"""How long a stopping entry waits for the stops of jobs that it gave up, so that their ids are free
-when callers submit them elsewhere."""
+"""Retry delay for callers that are rejected during a planned stop and should use another entry."""
+STOP_WAIT_S = 0.1
+"""How long a stopping entry waits for the stops of the jobs that it dropped, so that their ids are
+free when callers submit them elsewhere."""
 MIN_DRAIN_S = 0.3
-"""Callers' requests under way when the stop begins arrive within this time."""
+"""Minimum duration of a planned stop, within which requests in flight at its start arrive."""
 
 
 class FleetEntryProcess(BaseFleetProcess):
@@ -84,9 +84,9 @@
             times=self._times,
             metrics=self._metrics,
             send=lambda starts, stops: self._agents.send(starts, stops),
-            request_capacity=lambda asked: self._agents.send_capacity_requests(asked),
+            request_capacity=lambda request: self._agents.send_capacity_requests(request),
             check_pause=self._check_pause,
-            report_unobserved_end=lambda over: self._peers.send_crash(make_unseen(over)),
+            report_unobserved_end=lambda run: self._peers.send_crash(make_unseen(run)),
         )
         self._agents = AgentLinks(
             member=self._member,
@@ -119,7 +119,7 @@
         )
         self._tracker.set_claims(self._peers.claims)
         self._agents.set_routes(self._peers.routes)
-        self._evacuations.on_change(self._spare_evacuated)
+        self._evacuations.on_change(self._apply_evacuations)
         self._evacuations.on_change(self._agents.send_evacuations)
         self._evacuations.on_change(self._peers.send_evacuations)
         self._ingress: BaseIngress = load_backend(
@@ -130,7 +130,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether this entry should receive new connections."""
         if self.is_draining or self._configuration.current is None:
             return False
         return self._agents.has_workers
@@ -142,30 +142,30 @@
 
     @property
     def queues(self) -> QueueTable:
-        """The look-up table; raises ``QueuesUnknown`` before the first configuration."""
+        """The queue table. Raises ``QueuesUnknown`` before the first configuration."""
         return self._configuration.table
 
     async def run(self, request: JobRequest) -> JobOutcome:
-        """Run a job, unless a planned stop is too far on."""
+        """Run a job, unless a planned stop leaves too little time for it."""
         if not self._has_time_for(request):
             log_event("job:refused", job=request.id, queue=request.queue.name, cause="draining")
             return JobRejected(cause="draining", retry_after_s=DRAINING_RETRY_S)
         return await self._tracker.run(request)
 
     def leave(self, job_id: str) -> None:
-        """Cancel a job whose caller has hung up."""
+        """Cancel a job whose caller has disconnected."""
         self._tracker.leave(job_id)
 
     def take_evacuations(self, changes: EvacuationChanges) -> None:
-        """Take in what the store says of evacuations."""
+        """Apply changes of the evacuations from the store."""
         self._evacuations.offer(self._evacuation_record.apply(changes), source="store")
 
     def take_configuration(self, configuration: Configuration) -> None:
-        """Take in a configuration from the store."""
+        """Offer a configuration from the store."""
         self._configuration.offer(configuration, source="store")
 
     async def start(self) -> None:
-        """Listen, find the others, and follow the configuration."""
+        """Listen, connect to the other entries, and watch the store."""
         self._listener = LinkListener(
             address=self._settings.links.address,
             routes=(
@@ -181,7 +181,7 @@
         self._start_tasks(
             self._tick_forever(),
             self._store.announce(self._member),
-            self._store.watch_members(self._learn_member),
+            self._store.watch_members(self._add_member),
             self._store.watch_declarations(self),
         )
         log_event(
@@ -192,38 +192,36 @@
         )
 
     async def drain(self) -> None:
-        """Finish what is open, and jobs that still arrive and can be finished in time.
+        """Finish the open jobs, and those that still arrive and can be finished in time.
 
-        What is left at the end is answered as given up, so that its caller can submit it elsewhere
-        at once; cut off, it would have to find that out first.
+        Jobs that are open at the end are dropped with a response, so that their callers can submit
+        them elsewhere at once instead of waiting for a lost connection.
         """
         self._draining_since = clock.monotonic()
-        # A caller that kept its connection would bring its next request here, up to the end, when
-        # long jobs can't be finished any more; on a new one the balancer sends it to an entry that
-        # stays. With all entries stopped in turn, by callers' counts, 14 of 1,548 jobs of tasks of
-        # 1.8 s were refused, and 34 without it.
+        # Callers on open connections would submit jobs here until the end of the stop, when long
+        # jobs can't be finished any more. The load balancer routes a new connection elsewhere.
         closed = self._ingress.close_idle()
         log_event("process:stopping", open_jobs=len(self._tracker), closed_connections=closed)
-        end_by = self._draining_since + self._get_drain_s()
-        while clock.monotonic() < end_by:
+        deadline = self._draining_since + self._get_drain_s()
+        while clock.monotonic() < deadline:
             drained_s = clock.monotonic() - self._draining_since
-            is_quiet = not len(self._tracker)
-            if is_quiet and drained_s > MIN_DRAIN_S and not self._ingress.open_connections:
+            is_idle = not len(self._tracker)
+            if is_idle and drained_s > MIN_DRAIN_S and not self._ingress.open_connections:
                 break
-            if is_quiet and drained_s > BALANCER_S:
+            if is_idle and drained_s > BALANCER_DELAY_S:
                 break
             await asyncio.sleep(TICK_S)
         if len(self._tracker):
             self._tracker.abandon_all()
-            await asyncio.sleep(STOPS_S)
+            await asyncio.sleep(STOP_WAIT_S)
         log_event("process:stopped", open_jobs=len(self._tracker))
 
     def get_unfinished(self) -> list[str]:
-        """Return the jobs that ending now would cut off."""
+        """Return descriptions of the jobs that would be interrupted by stopping now."""
         return [f"job {job_id}" for job_id in self._tracker.get_open_ids()]
 
     def get_state(self) -> dict[str, object]:
-        """Return the dump."""
+        """Return the state of this process for operators."""
         current = self._configuration.current
         return {
             "name": self._member.name,
@@ -241,7 +239,7 @@
                     "is_accepting": view.is_accepting,
                     "data_centre": view.data_centre,
                     "free_cpu": view.free.cpu,
-                    "leaves_in_s": _count_down(view.leaves_at),
+                    "leaves_in_s": _get_remaining_s(view.leaves_at),
                     "slowness": round(view.get_slowness(clock.monotonic()), 3),
                     "coming": [
                         (round(row.in_s, 3), row.cpu) for row in view.get_coming(clock.monotonic())
@@ -253,18 +251,18 @@
         }
 
     def _has_time_for(self, request: JobRequest) -> bool:
-        """Tell whether a job is expected to end before this process does."""
+        """Return whether a job is expected to end before a planned stop does."""
         if self._draining_since is None:
             return True
         left_s = self._draining_since + self._get_drain_s() - clock.monotonic()
         return self._scheduler.expect_s(request) <= left_s
 
-    def _spare_evacuated(self, evacuations: Evacuations) -> None:
-        """Start nothing in evacuated data centres, and use those that were taken back."""
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
+        """Start no tasks in evacuated data centres, and use restored ones again."""
         data_centres = evacuations.data_centres
         self._tracker.apply(self._scheduler.set_evacuated(data_centres, now=clock.monotonic()))
 
-    def _learn_member(self, member: Member) -> None:
+    def _add_member(self, member: Member) -> None:
         if member.incarnation != self._member.incarnation:
             self._peers.add_members([member])
 
@@ -274,18 +272,18 @@
         await self._listener.close()
 
     def _forgive_silence(self, late_s: float) -> None:
-        """Take the time that this process was late itself off the silence of all links."""
+        """Exclude the time that this process was late from the liveness timers of all links."""
         self._agents.reset_liveness_timers(late_s)
         self._peers.reset_liveness_timers(late_s)
 
     def _recover_from_pause(self) -> None:
-        """Give up the jobs that have begun: their runs may have lapsed meanwhile."""
+        """Drop the started jobs, whose runs may have been stopped during the pause."""
         self._peers.note_process_pause()
         self._tracker.abandon_started(clock.monotonic())
 
     @property
     def _is_busy(self) -> bool:
-        """Whether a job is open here."""
+        """Whether any job is open at this entry."""
         return bool(len(self._tracker))
 
     def _tick(self) -> None:
@@ -298,12 +296,12 @@
         self._tracker.tick(now)
 
 
-def _count_down(leaves_at: float | None) -> float | None:
-    """Return the least time that a worker has left, in seconds; None if it stays."""
+def _get_remaining_s(leaves_at: float | None) -> float | None:
+    """Return the minimum time in seconds until a worker leaves, or None if it stays."""
     return None if leaves_at is None else round(max(leaves_at - clock.monotonic(), 0.0), 3)
 
 
 def make_placement(settings: FleetEntrySettings) -> BasePlacement:
-    """Return the placement that a deployment asks for."""
+    """Return the placement that the settings select."""
     kind = BalancedPlacement if settings.load.balances else FastestPlacement
     return kind(remote_factor=settings.remote_factor, far_penalty=settings.far_penalty)
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -1,14 +1,11 @@
-"""Ways to entries that this one can't reach itself: by way of agents that hear both.
-
-A peer that is silent may be gone, or cut off from this entry alone. Agents know: they keep links
-with all entries, or with many in a large system. So after a peer was lost without a goodbye all
-agents in reach are asked whom they hear, as indirect probes do in the SWIM protocol. A peer that
-one of them hears gets a link that this agent relays, and its claims go on by it. A peer that none
-of them hears has no run that an agent in reach knows of, and counts as gone.
-
-Load: a question to each agent and an answer for each peer that is lost without a goodbye, and a
-further answer at each change; beats by one agent for as long as a peer is reached by it. With 100
-agents in reach that is some 300 messages for a lost peer, and none in calm.
+"""Routes to entries that this one can't reach directly, relayed by agents that reach both.
+
+An unresponsive peer may be gone, or unreachable from this entry alone. Agents keep links with all
+entries, or with many of them in a large system. After a peer was lost without a goodbye, all
+reachable agents are therefore asked which entries they reach, like the indirect probes of the SWIM
+protocol. If an agent reaches the peer, a link by way of this agent is opened, which carries the
+claims. A peer that no agent reaches has no runs that a reachable agent knows of, and is treated as
+gone.
 """
 
 from __future__ import annotations
@@ -37,35 +34,35 @@
 __all__ = ["PeerRoutes", "RouteReceiver"]
 
 DIRECT_DIAL_S = 0.3
-"""How long a peer that was never lost is left to be reached directly, once agents hear it: an entry
-that is up is dialled within 0.1 s, and as a system starts agents hear most of them before."""
+"""How long to wait for a direct link with a newly reported entry before a route to it is opened.
+While a system starts, agents report most entries before this entry has dialled them."""
 
 
 class RouteReceiver(Protocol):
-    """Takes the links that agents relay."""
+    """Receives the links that agents relay."""
 
     def open_relayed(self, link: RelayedLink, *, is_dialled: bool) -> PeerSession:
-        """Begin a session on a link that was opened here, or by the peer."""
+        """Start a session on a relayed link that was opened here, or by the peer."""
 
     def handle_routes_changed(self) -> None:
-        """Note that agents have told whom they hear, or that one was lost."""
+        """Handle a new report of an agent, or the loss of one."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AgentView:
-    """The incarnations that an agent hears, as of the question that it answered last.
+class AgentReport:
+    """The incarnations of entries that an agent reaches, as of the request it last responded to.
 
-    ``left_jobs`` are the jobs that still run there for an owner that it does not hear.
+    ``left_jobs`` are the jobs with runs there whose owner the agent does not reach.
     """
 
-    answered: int
+    request_number: int
     entries: frozenset[str]
     left_jobs: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """A relayed link, and who uses it."""
+    """A relayed link, its session, and the incarnation of the peer."""
 
     link: RelayedLink
     session: PeerSession
@@ -73,10 +70,10 @@
 
 
 class PeerRoutes:
-    """What agents hear of other entries, and the links that they relay.
+    """Tracks which entries the agents reach, and the links that they relay.
 
-    ``incarnation`` is this entry's, and ``dialled`` are the links that carry its claims, by the
-    peer's name; their keeper adds to them and takes away.
+    ``incarnation`` is that of this entry. ``dialled`` holds the links that carry its claims, by the
+    name of the peer; the caller keeps it up to date.
     """
 
     def __init__(
@@ -89,84 +86,87 @@
         self._incarnation = incarnation
         self._dialled = dialled
         self._receiver = receiver
-        self._views: dict[AgentSession, AgentView] = {}
-        self._asked = 0
-        """The number of the last question; later answers show what was so after it."""
+        self._reports: dict[AgentSession, AgentReport] = {}
+        self._last_request_number = 0
+        """The number of the last request. A response with this number is newer than the request."""
         self._suspects: dict[str, int] = {}
-        """Incarnations that were lost, each with the number of the first question about it."""
+        """Lost incarnations, each with the number of the first request about it."""
         self._unlinked_since: dict[str, float] = {}
         self._routes: dict[tuple[AgentSession, str], Route] = {}
         self._numbers = itertools.count(1)
 
     @property
     def has_agent_response(self) -> bool:
-        """Whether any agent has answered the last question, and so is surely in reach."""
-        return any(view.answered >= self._asked for view in self._views.values())
+        """Whether any agent has responded to the last request, which shows that it is reachable."""
+        return any(
+            report.request_number >= self._last_request_number for report in self._reports.values()
+        )
 
     @property
     def may_have_unlinked_peer(self) -> bool:
-        """Whether a peer may be there that this entry has no link with.
+        """Whether a peer may be running with which this entry has no link.
 
-        So it is before the agents have answered, and while they hear one that is not linked yet.
-        Without agents nothing is known, and nothing could be started either.
+        True until all agents have responded, and while they reach an entry that is not linked yet.
+        Also true without any agent, since nothing is known then.
         """
-        if not self._views:
+        if not self._reports:
             return True
-        return self._is_waiting() or bool(self._find_unlinked())
+        return self._is_awaiting_responses() or bool(self._list_unlinked())
 
     def is_gone(self, incarnation: str) -> bool:
-        """Tell whether no agent hears a peer that was lost, by answers that are newer than that."""
-        number = self._suspects.get(incarnation, self._asked)
-        views = self._views.values()
-        return bool(views) and all(
-            view.answered >= number and incarnation not in view.entries for view in views
+        """Return whether no agent reaches a lost peer, by responses newer than the loss."""
+        number = self._suspects.get(incarnation, self._last_request_number)
+        reports = self._reports.values()
+        return bool(reports) and all(
+            report.request_number >= number and incarnation not in report.entries
+            for report in reports
         )
 
     def has_orphaned_runs(self, job_id: str) -> bool:
-        """Tell whether something of a job still runs for an owner that its agent does not hear."""
-        return any(job_id in view.left_jobs for view in self._views.values())
+        """Return whether a job has runs left for an owner that is unreachable from their agent."""
+        return any(job_id in report.left_jobs for report in self._reports.values())
 
     def is_awaiting(self, session: AgentSession) -> bool:
-        """Tell whether an agent has not answered yet."""
-        view = self._views.get(session)
-        return view is not None and view.answered < self._asked
+        """Return whether an agent has not responded to the last request yet."""
+        report = self._reports.get(session)
+        return report is not None and report.request_number < self._last_request_number
 
     def add_agent(self, session: AgentSession) -> None:
-        """Ask an agent that was just met."""
-        self._views[session] = AgentView(answered=-1, entries=frozenset())
-        self._ask(session)
+        """Send a request to an agent with a new link."""
+        self._reports[session] = AgentReport(request_number=-1, entries=frozenset())
+        self._send_request(session)
 
     def remove_agent(self, session: AgentSession) -> None:
-        """Note that an agent is out of reach, with all that it relays."""
-        if self._views.pop(session, None) is None:
+        """Remove an agent that is unreachable, with the routes that it relays."""
+        if self._reports.pop(session, None) is None:
             return
         for key in [key for key in self._routes if key[0] is session]:
             self._lose_route(key)
         self._receiver.handle_routes_changed()
 
     def suspect(self, incarnation: str) -> None:
-        """Note that a peer was lost without a goodbye, and ask all agents about it."""
+        """Ask all agents about a peer that was lost without a goodbye."""
         if incarnation in self._suspects:
             return
-        self._asked += 1
-        self._suspects[incarnation] = self._asked
-        for session in self._views:
-            self._ask(session)
-
-    def handle_reachable_entries(self, session: AgentSession, news: EntriesHeard) -> None:
-        """Take in whom an agent hears."""
-        if session not in self._views:
+        self._last_request_number += 1
+        self._suspects[incarnation] = self._last_request_number
+        for session in self._reports:
+            self._send_request(session)
+
+    def handle_reachable_entries(self, session: AgentSession, message: EntriesHeard) -> None:
+        """Handle a report of the entries that an agent reaches."""
+        if session not in self._reports:
             return
-        self._views[session] = AgentView(
-            answered=news.number,
-            entries=frozenset(news.entries),
-            left_jobs=frozenset(news.left_jobs),
+        self._reports[session] = AgentReport(
+            request_number=message.number,
+            entries=frozenset(message.entries),
+            left_jobs=frozenset(message.left_jobs),
         )
         self._open_routes(now=clock.monotonic())
         self._receiver.handle_routes_changed()
 
     def handle_frame(self, session: AgentSession, message: Relayed) -> None:
-        """Take in a frame that an agent relays."""
+        """Handle a frame that an agent relays."""
         key = session, message.route
         route = self._routes.get(key)
         if route is None and message.is_first and message.receiver == self._incarnation:
@@ -183,68 +183,76 @@
         route.session.receive(messages)
 
     def handle_route_ended(self, session: AgentSession, message: RouteEnded) -> None:
-        """Note that nothing more comes by a route."""
+        """Handle the end of a route."""
         self._lose_route((session, message.route))
 
     def tick(self, now: float) -> None:
-        """Look for ways to peers that were not reached directly in time, and try anew."""
+        """Open routes to peers that have no link yet, and drop suspects that are settled."""
         self._open_routes(now=now)
         linked = self._get_linked()
-        for incarnation in [row for row in self._suspects if row in linked or self.is_gone(row)]:
+        for incarnation in [
+            suspect for suspect in self._suspects if suspect in linked or self.is_gone(suspect)
+        ]:
             del self._suspects[incarnation]
 
-    def _ask(self, session: AgentSession) -> None:
-        ask = EntriesAsk(number=self._asked, suspects=tuple(self._suspects))
-        session.link.send(ask)
+    def _send_request(self, session: AgentSession) -> None:
+        request = EntriesAsk(number=self._last_request_number, suspects=tuple(self._suspects))
+        session.link.send(request)
 
-    def _is_waiting(self) -> bool:
-        return any(view.answered < self._asked for view in self._views.values())
+    def _is_awaiting_responses(self) -> bool:
+        return any(
+            report.request_number < self._last_request_number for report in self._reports.values()
+        )
 
     def _get_linked(self) -> set[str]:
         members = (session.member for session in self._dialled.values())
         return {self._incarnation, *(member.incarnation for member in members if member)}
 
-    def _find_unlinked(self) -> set[str]:
-        """Return the incarnations that agents hear and that this entry has no link with."""
-        heard: set[str] = set()
-        for view in self._views.values():
-            heard |= view.entries
-        return heard - self._get_linked()
+    def _list_unlinked(self) -> set[str]:
+        """Return the incarnations that agents reach and with which this entry has no link."""
+        reported: set[str] = set()
+        for report in self._reports.values():
+            reported |= report.entries
+        return reported - self._get_linked()
 
     def _open_routes(self, *, now: float) -> None:
-        unlinked = self._find_unlinked()
-        since = {row: at for row, at in self._unlinked_since.items() if row in unlinked}
+        unlinked = self._list_unlinked()
+        since = {entry: at for entry, at in self._unlinked_since.items() if entry in unlinked}
         self._unlinked_since = since
         opening = {route.peer for route in self._routes.values() if route.session.is_dialled}
         for incarnation in sorted(unlinked):
             since.setdefault(incarnation, now)
             if incarnation not in self._suspects and now - since[incarnation] < DIRECT_DIAL_S:
                 continue
-            # One that can't be dialled may be gone, and agents with idle links not know it yet.
+            # An entry that can't be dialled may be gone without agents on idle links noticing yet.
             self.suspect(incarnation)
             if incarnation not in opening:
                 self._open_route(incarnation)
 
     def _open_route(self, incarnation: str) -> None:
-        """Open a link with a peer by way of one of the agents that hear it."""
-        hearing = [row for row, view in self._views.items() if incarnation in view.entries]
-        agent = random.choice(hearing)
+        """Open a link with a peer by way of one of the agents that reach it."""
+        agents = [
+            session for session, report in self._reports.items() if incarnation in report.entries
+        ]
+        agent = random.choice(agents)
         name = f"{self._incarnation}/{next(self._numbers)}"
-        self._make_route(agent, name, incarnation, is_dialled=True)
+        self._create_route(agent, name, incarnation, is_dialled=True)
         log_event(
             "peer:relayed",
             peer=incarnation,
             agent=agent.name,
-            agents=len(hearing),
-            of=len(self._views),
+            agents=len(agents),
+            of=len(self._reports),
             route=name,
         )
 
     def _accept(self, agent: AgentSession, message: Relayed) -> Route:
-        return self._make_route(agent, message.route, message.sender, is_dialled=False)
+        return self._create_route(agent, message.route, message.sender, is_dialled=False)
 
-    def _make_route(self, agent: AgentSession, name: str, peer: str, *, is_dialled: bool) -> Route:
-        firsts = itertools.chain([is_dialled], itertools.repeat(False))
+    def _create_route(
+        self, agent: AgentSession, name: str, peer: str, *, is_dialled: bool
+    ) -> Route:
+        first_flags = itertools.chain([is_dialled], itertools.repeat(False))
 
         def pass_on(frame: str) -> None:
             agent.link.send(
@@ -253,7 +261,7 @@
                     sender=self._incarnation,
                     receiver=peer,
                     frame=frame,
-                    is_first=next(firsts),
+                    is_first=next(first_flags),
                 )
             )
 
@@ -271,7 +279,7 @@
         agent.link.send(RouteEnded(route=name, sender=self._incarnation, receiver=peer))
 
     def _lose_route(self, key: tuple[AgentSession, str]) -> None:
-        """Note that a route has ended at the agent or beyond it."""
+        """Close the link of a route that has ended at the agent or beyond it."""
         route = self._routes.pop(key, None)
         if route is not None:
             route.link.mark_closed()
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -1,4 +1,4 @@
-"""The scheduler's actions as rows of frames to agents."""
+"""Conversion of the scheduler's actions to messages for agents."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def make_run_row(job_id: str, task: TaskKey, run: int) -> RunRow:
-    """Return the row that names one run of a task."""
+    """Return the row that identifies one run of a task."""
     return RunRow(job=job_id, step=task.step, position=task.position, run=run)
 
 
 def make_capacity_request_row(want: Want | None) -> WantRow | None:
-    """Return what an owner lacks room for, to a tenth of a millisecond."""
+    """Return the row of a capacity request, with its rank rounded to 0.1 ms."""
     if want is None:
         return None
     return WantRow(
@@ -26,7 +26,7 @@
 
 
 def make_starts(group: list[StartTask], want: Want | None) -> Starts:
-    """Return the message that starts tasks of one job on one worker, with its text once."""
+    """Return the message that starts tasks of one job on one worker and shares its payload."""
     rows = []
     for start in group:
         resources = start.job.steps[start.task.step].resources
--- a/dalemast/fleet/entry/unfinished_runs.py
+++ b/dalemast/fleet/entry/unfinished_runs.py
@@ -1,4 +1,4 @@
-"""The runs of ended jobs that may still go on, and with them the ids that are not free yet."""
+"""Tracks runs of ended jobs that may still be active, and releases the ids once they have ended."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class UnfinishedRuns:
-    """By ended job, which of its runs are being stopped, and when each has surely ended by itself.
+    """The runs of ended jobs that are being stopped, each with the time when it must have ended.
 
-    Runs are told apart by worker, task and number. Ends of a job's other runs may come at any time:
-    an agent that was out of reach tells of them once it is back. ``lost_run_s`` is how long a run
-    may go on after it was told to stop, and ``release`` frees an id once nothing of it runs.
+    Runs are identified by worker, task and number, since an agent that was unreachable may report
+    the ends of older runs at any time. ``lost_run_s`` is how long a run may go on after its stop
+    was sent. ``release`` is called with a job's id once all its runs have ended.
     """
 
     def __init__(self, *, lost_run_s: float, release: Callable[[str], None]) -> None:
@@ -27,11 +27,11 @@
 
     @property
     def job_ids(self) -> list[str]:
-        """The ids that are not free yet."""
+        """The ids that are not released yet."""
         return list(self._jobs)
 
     def begin(self, job_id: str, stops: Iterable[StopTask], *, now: float) -> None:
-        """Note that a job has ended whose runs are told to stop; without any its id is free."""
+        """Track the runs of an ended job that are being stopped; without any, release its id."""
         runs = dict.fromkeys(stops, now + self._lost_run_s)
         if runs:
             self._jobs[job_id] = runs
@@ -39,16 +39,16 @@
             self._release(job_id)
 
     def extend(self, stops: Iterable[StopTask], *, now: float) -> None:
-        """Wait anew for runs of ended jobs that are told to stop once more.
+        """Restart the wait for runs of ended jobs that are stopped once more.
 
-        An agent that was out of reach lists them still, and may hear of their stops only now.
+        An agent that was unreachable may receive the stops of its runs only now.
         """
         for stop in stops:
             if stop.job_id in self._jobs:
                 self._jobs[stop.job_id][stop] = now + self._lost_run_s
 
     def record_end(self, run: StopTask) -> None:
-        """Note that a run has ended; the last one frees the id."""
+        """Record that a run has ended. The last run of a job releases its id."""
         runs = self._jobs.get(run.job_id, {})
         if runs.pop(run, None) is None or runs:
             return
@@ -56,7 +56,7 @@
         self._release(run.job_id)
 
     def tick(self, *, now: float) -> None:
-        """Take runs whose time is over for ended."""
+        """Treat runs whose time is over as ended."""
         for runs in list(self._jobs.values()):
-            for run in [run for run, over_at in runs.items() if now >= over_at]:
+            for run in [run for run, ends_by in runs.items() if now >= ends_by]:
                 self.record_end(run)
