--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -1,4 +1,4 @@
-"""What entries tell one another of a new configuration."""
+"""Tests of the exchange of configurations between entries."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from tests.fleet.base import LocalFleet, find_address, make_configuration, settle
 
 
-class ConfigurationNewsTests(AsyncTestCase):
+class ConfigurationExchangeTests(AsyncTestCase):
     def test_an_entry_that_has_a_configuration_is_not_sent_it_again(self) -> None:
-        """Copies grow with the square of the entries, and fill the links of the smallest."""
+        """Guards against needless copies, whose number grows with the square of the entries."""
 
         async def run() -> None:
             async with LocalFleet(entries=3, workers=1) as fleet:
@@ -31,7 +31,7 @@
 
         self.run_async(run())
 
-    def test_an_entry_that_the_store_turns_away_gets_it_from_one_peer(self) -> None:
+    def test_an_entry_without_the_store_receives_it_from_one_peer(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=3, workers=1) as fleet:
                 entry = await add_entry_without_store(fleet)
@@ -40,32 +40,35 @@
                 )
                 copies: list[int] = []
                 count_copies(entry, copies)
-                given = count_given(fleet.entries)
+                sent_versions = count_sent(fleet.entries)
                 fleet.store.put("op", "config", make_configuration(9))
                 await wait_until(
-                    lambda: entry.get_state()["configuration"] == 9, "the configuration of a peer"
+                    lambda: entry.get_state()["configuration"] == 9, "the configuration from a peer"
                 )
                 await settle()
                 self.assertEqual([], copies)
-                self.assertEqual([9], given)
+                self.assertEqual([9], sent_versions)
 
         self.run_async(run())
 
-    def test_a_peer_that_is_silent_is_followed_by_another(self) -> None:
+    def test_a_request_goes_to_another_peer_if_the_first_does_not_respond(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=2, workers=1) as fleet:
-                silent = fleet.entries[0]
-                silent._peers._configuration_exchange.send_configuration = lambda session, ask: None
+                unresponsive = fleet.entries[0]
+                unresponsive._peers._configuration_exchange.send_configuration = (
+                    lambda session, request: None
+                )
                 entry = await add_entry_without_store(fleet)
                 await wait_until(
-                    lambda: entry.get_state()["configuration"] == 7, "the other peer's answer"
+                    lambda: entry.get_state()["configuration"] == 7,
+                    "the configuration from the other peer",
                 )
 
         self.run_async(run())
 
 
 async def add_entry_without_store(fleet: LocalFleet) -> Any:
-    """Start an entry whose store nobody serves, and wait until it is linked with all others."""
+    """Start an entry that can't reach the store, and wait for its links with all others."""
     settings = await fleet._make_entry(len(fleet.entries))
     settings = msgspec.structs.replace(
         settings,
@@ -78,35 +81,35 @@
     return entry
 
 
-def count_given(entries: list[Any]) -> list[int]:
-    """Note each version that one of the entries sends in whole."""
-    given: list[int] = []
+def count_sent(entries: list[Any]) -> list[int]:
+    """Return a list to which each version that an entry sends as a whole is added."""
+    sent_versions: list[int] = []
     for entry in entries:
         links = entry._peers
-        note_given(links._configuration_exchange, given)
-    return given
+        record_sent(links._configuration_exchange, sent_versions)
+    return sent_versions
 
 
-def note_given(news: Any, given: list[int]) -> None:
-    """Note each version that an entry sends in whole."""
-    give = news.send_configuration
+def record_sent(exchange: Any, sent_versions: list[int]) -> None:
+    """Record each version that an entry sends as a whole."""
+    send = exchange.send_configuration
 
-    def give_and_note(session: Any, ask: Any) -> None:
-        given.append(ask.version)
-        give(session, ask)
+    def send_and_record(session: Any, request: Any) -> None:
+        sent_versions.append(request.version)
+        send(session, request)
 
-    news.send_configuration = give_and_note
+    exchange.send_configuration = send_and_record
 
 
 def count_copies(entry: Any, copies: list[int]) -> None:
-    """Note each configuration that reaches an entry which has it already."""
+    """Record each configuration that an entry receives although it has it already."""
     peers = entry._peers
-    take = peers.handle_message
+    handle = peers.handle_message
 
-    def take_and_note(session: Any, message: Any) -> None:
+    def handle_and_record(session: Any, message: Any) -> None:
         current = entry._configuration.current
         if isinstance(message, ConfigurationNews) and message.version <= current.version:
             copies.append(message.version)
-        take(session, message)
+        handle(session, message)
 
-    peers.handle_message = take_and_note
+    peers.handle_message = handle_and_record
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -1,4 +1,4 @@
-"""Tasks that crash their workers, over real links: what is told, and to whom."""
+"""Tests of reports on tasks that crash their workers, over real links."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 class CrashingTaskTests(AsyncTestCase):
     async def submit(self, fleet: LocalFleet, entry: int) -> str:
-        """Submit the job whose task crashes its worker; return how it ended."""
+        """Submit a job whose task crashes its worker, and return its final state."""
         text = make_text(1.0, crash_s=CRASH_S)
-        answer = await fleet.submit_like_a_caller(JOB, entry=entry, text=text)
-        self.assertEqual(200, answer.status)
-        return str(answer.decode(dict[str, str])["state"])
+        response = await fleet.submit_like_a_caller(JOB, entry=entry, text=text)
+        self.assertEqual(200, response.status)
+        return str(response.decode(dict[str, str])["state"])
 
-    def test_a_job_that_crashes_its_workers_is_answered_as_failed(self) -> None:
+    def test_a_job_that_crashes_its_workers_fails(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=2, workers=5) as fleet:
                 sound = asyncio.create_task(
@@ -36,7 +36,7 @@
                 self.assertEqual("failed", await self.submit(fleet, entry=0))
                 starts = len(fleet.get_started(JOB))
                 self.assertLessEqual(starts, 3)
-                # The other entry was told of it, and asked for the job it starts nothing.
+                # The other entry knows of the crashes and starts nothing.
                 self.assertEqual("failed", await self.submit(fleet, entry=1))
                 self.assertEqual(starts, len(fleet.get_started(JOB)))
                 self.assertEqual("succeeded", (await sound).decode(dict[str, str])["state"])
@@ -45,46 +45,46 @@
 
 
 class CrashMemoryTests(unittest.TestCase):
-    def make(self, life: str, *, is_seen: bool = True) -> Crashed:
+    def make_message(self, incarnation: str, *, is_seen: bool = True) -> Crashed:
         row = CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.0312)
-        return make_crashed(life, [row], is_seen=is_seen)
+        return make_crashed(incarnation, [row], is_seen=is_seen)
 
-    def test_a_message_says_what_it_was_made_of(self) -> None:
+    def test_a_message_decodes_to_the_tasks_it_was_made_of(self) -> None:
         rows = [
             CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.25),
             CrashedTask(job_id=JOB, task=TaskKey(2, 0), age_s=None),
         ]
         self.assertEqual(rows, read_crashed(make_crashed("i-1", rows)))
 
-    def test_entries_hear_it_from_agents_and_from_one_another(self) -> None:
+    def test_entries_receive_it_from_agents_and_from_peers(self) -> None:
         for kind in (AgentMessage, PeerMessage):
             frame = '[["Z","i-1",[["00000000000000e1",0,1,0.03]],true]]'
-            (news,) = decode_frame(frame, kind)
-            self.assertEqual("i-1", news.worker)
+            (message,) = decode_frame(frame, kind)
+            self.assertEqual("i-1", message.worker)
 
-    def test_the_oldest_goes_when_there_are_too_many(self) -> None:
+    def test_the_oldest_crash_is_dropped_when_there_are_too_many(self) -> None:
         memory = CrashMemory()
         for number in range(2 * MAX_CRASHES):
-            memory.add(self.make(f"i-{number}"))
+            memory.add(self.make_message(f"i-{number}"))
         self.assertEqual(MAX_CRASHES, len(memory.crashes))
         self.assertEqual(f"i-{MAX_CRASHES}", memory.crashes[0].worker)
 
-    def test_a_silent_life_that_is_back_is_forgotten(self) -> None:
+    def test_an_unresponsive_incarnation_that_is_back_is_removed(self) -> None:
         memory = CrashMemory()
-        memory.add(self.make("i-1", is_seen=False))
+        memory.add(self.make_message("i-1", is_seen=False))
         memory.note_there("i-1")
         self.assertEqual((), memory.crashes)
 
-    def test_a_silent_life_that_another_one_follows_stays_unseen(self) -> None:
-        """Its tasks may have lapsed before it ended."""
+    def test_an_unresponsive_incarnation_that_is_replaced_stays_unobserved(self) -> None:
+        """Its tasks may have ended before it was replaced."""
         memory = CrashMemory()
-        memory.add(self.make("i-1", is_seen=False))
+        memory.add(self.make_message("i-1", is_seen=False))
         memory.note_there("i-2")
         self.assertEqual([False], [crashed.is_seen for crashed in memory.crashes])
 
 
-class OwnerTests(unittest.TestCase):
-    def test_an_owner_tells_its_peers_of_its_own_tasks(self) -> None:
+class OwnerNotificationTests(unittest.TestCase):
+    def test_an_owner_notifies_its_peers_of_its_own_tasks(self) -> None:
         scheduler = mock.Mock(open_jobs={JOB: None})
         notify_peers = mock.Mock()
         links = AgentLinks(
--- a/tests/fleet/test_cut_off.py
+++ b/tests/fleet/test_cut_off.py
@@ -36,7 +36,7 @@
 
     def test_a_job_whose_id_is_unconfirmed_is_rejected_as_not_run(self) -> None:
         async def run() -> None:
-            for owner, kind in (("", JobRejected), ("life-other", JobDropped)):
+            for owner, kind in (("", JobRejected), ("other-1", JobDropped)):
                 tracker = self.make_tracker("i-1")
                 self.claims.result = Held(owner=owner, free_at=None)
                 with mock.patch("dalemast.fleet.entry.job_tracker.CLAIM_WAIT_S", 0.05):
--- a/tests/fleet/test_evacuations.py
+++ b/tests/fleet/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Evacuations on the whole path: declared in the store, kept to by entries and agents."""
+"""Tests of evacuations on the whole path, from the store to entries and agents."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.fleet.base import LocalFleet, find_address, make_configuration, make_text, settle
 
 WACO = 1
-"""The worker in the data centre that is evacuated; the other one is in austin."""
+"""Index of the worker in waco; the other one is in austin."""
 JOBS = 12
 
 
@@ -34,7 +34,7 @@
 
 
 async def add_entry_without_store(fleet: LocalFleet) -> FleetEntryProcess:
-    """Start an entry that the store turns away from the beginning."""
+    """Start an entry that can't reach the store."""
     settings = await fleet._make_entry(len(fleet.entries))
     fleet.entry_settings.append(settings)
     settings = msgspec.structs.replace(
@@ -51,7 +51,7 @@
             response = await fleet.submit_like_a_caller(f"{name}{number:015x}", entry=entry)
             self.assertEqual(200, response.status)
 
-    def test_nothing_starts_there_until_it_is_taken_back(self) -> None:
+    def test_no_task_starts_there_until_it_is_withdrawn(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/waco", {})
@@ -65,21 +65,21 @@
 
         self.run_async(run())
 
-    def test_what_runs_there_is_not_cut_off(self) -> None:
+    def test_running_tasks_are_not_stopped(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/austin", {})
                 await wait_for_evacuated([*fleet.entries, *fleet.agents], "austin")
                 job = fleet.submit_like_a_caller("b" * 16, text=make_text(0.5))
-                answer = asyncio.create_task(job)
+                response = asyncio.create_task(job)
                 await wait_until(lambda: bool(fleet.get_running("b" * 16)), "the job to run")
                 fleet.store.put("op", "evacuate/waco", {})
                 await wait_for_evacuated(fleet.agents, "austin", "waco")
-                self.assertEqual(200, (await answer).status)
+                self.assertEqual(200, (await response).status)
 
         self.run_async(run())
 
-    def test_an_entry_that_the_store_turns_away_hears_of_it_from_the_others(self) -> None:
+    def test_an_entry_without_the_store_receives_it_from_its_peers(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/waco", {})
@@ -94,7 +94,7 @@
 
         self.run_async(run())
 
-    def test_a_withdrawal_in_a_forgotten_history_is_found_by_reading_anew(self) -> None:
+    def test_a_withdrawal_in_a_lost_history_is_found_by_a_full_read(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/waco", {})
@@ -108,8 +108,8 @@
 
         self.run_async(run())
 
-    def test_an_entry_knows_before_its_first_start(self) -> None:
-        """Agents of an empty fleet know nothing either, as after a loss of all power."""
+    def test_an_entry_knows_of_it_before_its_first_start(self) -> None:
+        """Guards against starts after a full restart, when agents don't know of it either."""
 
         async def run() -> None:
             async with make_fleet(documents={"evacuate/waco": {}}) as fleet:
@@ -119,31 +119,31 @@
 
         self.run_async(run())
 
-    def test_an_agent_refuses_what_an_entry_asks_that_has_not_heard(self) -> None:
+    def test_an_agent_refuses_starts_of_an_entry_that_does_not_know_of_it(self) -> None:
         async def run() -> None:
             async with make_fleet(entries=1) as fleet:
                 agent = fleet.agents[WACO]
-                news = Evacuations(version=10**9, data_centres=frozenset({"waco"}))
-                agent._evacuations.offer(news, source="another entry")
+                update = Evacuations(version=10**9, data_centres=frozenset({"waco"}))
+                agent._evacuations.offer(update, source="another entry")
                 await self.run_jobs(fleet, "d")
                 self.assertEqual([], fleet.workers[WACO].started)
 
         self.run_async(run())
 
-    def test_an_entry_that_is_behind_is_told_by_whom_it_tells(self) -> None:
+    def test_an_outdated_entry_is_updated_by_a_peer_that_it_updates(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 ahead, behind = fleet.entries
-                news = Evacuations(version=10**9, data_centres=frozenset({"waco"}))
-                ahead._evacuations._view.offer(news)
+                update = Evacuations(version=10**9, data_centres=frozenset({"waco"}))
+                ahead._evacuations._view.offer(update)
                 self.assertEqual([], behind.get_state()["evacuated"])
                 fleet.store.put("op", "evacuate/temple", {})
                 await wait_for_evacuated([behind], "waco")
 
         self.run_async(run())
 
-    def test_a_change_while_a_link_is_opening_is_not_missed(self) -> None:
-        """Changes are told on greeted links alone, and a greeting may be on its way."""
+    def test_a_change_while_a_link_is_being_opened_is_not_missed(self) -> None:
+        """Changes are sent on greeted links only, so one during the greeting could be missed."""
 
         async def run() -> None:
             async with make_fleet(entries=2) as fleet:
@@ -159,14 +159,14 @@
                 agent.receive([hello])
                 row = MemberRow(name="e9", incarnation="i", address="a:1", data_centre="waco")
                 peer.receive([PeerHello(member=row, jobs=())])
-                told = [news for news in sent if isinstance(news, EvacuationNews)]
-                self.assertEqual([("waco",)] * 2, [news.data_centres for news in told])
+                updates = [update for update in sent if isinstance(update, EvacuationNews)]
+                self.assertEqual([("waco",)] * 2, [update.data_centres for update in updates])
                 agent.close()
                 peer.close()
 
         self.run_async(run())
 
-    def test_configurations_go_on_beside_it(self) -> None:
+    def test_configurations_still_take_effect(self) -> None:
         async def run() -> None:
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/waco", {})
--- a/tests/fleet/test_job_tracker.py
+++ b/tests/fleet/test_job_tracker.py
@@ -40,13 +40,13 @@
     def __init__(self) -> None:
         self.is_delayed = False
         self.result: Granted | Held = Granted()
-        self.waiting: list[asyncio.Future[Granted | Held]] = []
+        self.pending: list[asyncio.Future[Granted | Held]] = []
         self.log: list[str] = []
 
     async def claim(self, job_id: str) -> Granted | Held:
         if self.is_delayed:
-            self.waiting.append(asyncio.get_running_loop().create_future())
-            return await self.waiting[-1]
+            self.pending.append(asyncio.get_running_loop().create_future())
+            return await self.pending[-1]
         self._record(self.result)
         return self.result
 
@@ -55,7 +55,7 @@
 
     def respond(self, number: int, result: Granted | Held) -> None:
         self._record(result)
-        self.waiting[number].set_result(result)
+        self.pending[number].set_result(result)
 
     def _record(self, result: Granted | Held) -> None:
         self.log.append("granted" if isinstance(result, Granted) else "held")
@@ -80,7 +80,7 @@
             times=TIMES,
             metrics=Metrics(),
             send=self._send,
-            request_capacity=lambda asked: None,
+            request_capacity=lambda request: None,
             check_pause=self._check_pause,
         )
         self.tracker = tracker
@@ -237,10 +237,10 @@
             tracker = self.make_tracker("w1")
             self.claims.is_delayed = True
             first = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: len(self.claims.waiting) == 1, "the first claim")
+            await wait_until(lambda: len(self.claims.pending) == 1, "the first claim")
             tracker.leave(JOB)
             second = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: len(self.claims.waiting) == 2, "the second claim")
+            await wait_until(lambda: len(self.claims.pending) == 2, "the second claim")
             self.claims.respond(0, Granted())
             self.claims.respond(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
@@ -258,7 +258,7 @@
             tracker = self.make_tracker("w1")
             self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
+            await wait_until(lambda: len(self.claims.pending) == 1, "the claim")
             tracker.leave(JOB)
             self.claims.respond(0, Held(owner="o2", free_at=None))
             await job
@@ -271,7 +271,7 @@
             tracker = self.make_tracker("w1")
             self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
+            await wait_until(lambda: len(self.claims.pending) == 1, "the claim")
             self.assertEqual([], tracker.get_claimed_ids())
             self.assertTrue(tracker.has_open(JOB))
             self.claims.respond(0, Granted())
@@ -297,10 +297,10 @@
             tracker = self.make_tracker("w1")
             self.claims.is_delayed = True
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: len(self.claims.waiting) == 1, "the claim")
+            await wait_until(lambda: len(self.claims.pending) == 1, "the claim")
             self.claims.respond(0, Granted())
             tracker.abandon_started(self.now + TIMES.lost_run_s)
-            await wait_until(lambda: len(self.claims.waiting) == 2, "another claim")
+            await wait_until(lambda: len(self.claims.pending) == 2, "another claim")
             self.assertEqual([], self.starts)
             self.claims.respond(1, Granted())
             await wait_until(lambda: len(self.starts) == 1, "the start")
@@ -321,7 +321,7 @@
             tracker = self.make_tracker()
             tracker.tick(self.now)
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
+            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to be queued")
             tracker.abandon_started(self.now + TIMES.lost_run_s + ROUNDING_S)
             self.assertIsInstance(await asyncio.wait_for(job, 1.0), JobRejected)
             self.assertEqual({}, self.scheduler.open_jobs)
@@ -334,7 +334,7 @@
             tracker = self.make_tracker()
             tracker.tick(self.now)
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
+            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to be queued")
             tracker.abandon_started(self.now + TIMES.silence_s)
             self.assertEqual([JOB], list(self.scheduler.open_jobs))
             tracker.leave(JOB)
@@ -349,7 +349,7 @@
             tracker = self.make_tracker()
             tracker.tick(self.now)
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
-            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
+            await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to be queued")
             self.paused_s = 2 * TIMES.lost_run_s
             tracker.apply(self.add_worker("w1"))
             self.assertEqual([], self.starts)
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: callers, entries, agents and workers, with faults on the way."""
+"""Tests of the whole path from callers to workers, with faults on the way."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
     return str(response.decode(dict[str, Any])["state"])
 
 
-class CalmTests(AsyncTestCase):
-    def test_a_job_is_answered_once_all_its_tasks_are_done(self) -> None:
+class FaultFreeTests(AsyncTestCase):
+    def test_a_job_ends_once_all_its_tasks_are_done(self) -> None:
         async def scenario() -> None:
             async with LocalFleet() as fleet:
                 response = await fleet.submit(JOB, count=6)
@@ -33,7 +33,7 @@
 
         self.run_async(scenario())
 
-    def test_an_agent_finds_entries_that_its_seed_tells_of(self) -> None:
+    def test_an_agent_finds_entries_by_way_of_its_seed(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=3, workers=1) as fleet:
                 response = await fleet.submit(JOB, entry=2)
@@ -41,7 +41,7 @@
 
         self.run_async(scenario())
 
-    def test_an_agent_keeps_no_more_links_than_its_bounds(self) -> None:
+    def test_an_agent_keeps_no_more_links_than_its_limits(self) -> None:
         async def scenario() -> None:
             bounds = {"max_near_links": 1, "max_far_links": 1}
             fleet = LocalFleet(entries=4, workers=1, agent_settings=bounds, links_per_agent=2)
@@ -52,14 +52,14 @@
                     JOB, entry=fleet.entries.index(linked[0])
                 )
                 self.assertEqual(200, response.status)
-                # An entry that goes gives its place to another.
+                # The link of an entry that stops is replaced by one with another entry.
                 await linked[0].close()
                 fleet.entries.remove(linked[0])
                 await wait_until(lambda: fleet.agents[0].get_state()["entries"] == 2)
 
         self.run_async(scenario())
 
-    def test_what_is_not_served_is_refused_as_not_run(self) -> None:
+    def test_a_job_for_an_unserved_service_is_rejected_as_not_run(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 body = {"spec": "", "steps": [{"count": 1, "cpu": 10}]}
@@ -70,7 +70,7 @@
 
         self.run_async(scenario())
 
-    def test_paths_and_bodies_that_mean_nothing_are_told_so(self) -> None:
+    def test_invalid_paths_and_bodies_are_rejected(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 cases = [
@@ -88,7 +88,7 @@
 
         self.run_async(scenario())
 
-    def test_a_hopeless_attempt_limit_fails_the_job(self) -> None:
+    def test_a_job_fails_once_its_attempts_are_used_up(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(workers=1) as fleet:
                 fleet.workers[0].set_faults(fail=1.0)
@@ -112,7 +112,7 @@
 
         self.run_async(scenario())
 
-    def test_an_older_configuration_is_never_taken(self) -> None:
+    def test_an_older_configuration_is_ignored(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 fleet.store.put("op", "config", make_configuration(3, path_prefix="/old/"))
@@ -121,7 +121,7 @@
 
         self.run_async(scenario())
 
-    def test_a_feed_whose_history_is_gone_begins_anew(self) -> None:
+    def test_a_feed_with_a_lost_history_restarts(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 fleet.store.forget_history()
@@ -130,7 +130,7 @@
 
         self.run_async(scenario())
 
-    def test_a_peer_brings_the_configuration_while_the_store_is_down(self) -> None:
+    def test_a_peer_sends_the_configuration_while_the_store_is_down(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=2, workers=1) as fleet:
                 await fleet.entries[1].close()
@@ -165,11 +165,11 @@
 
         self.run_async(scenario())
 
-    def test_every_peer_that_was_asked_for_an_id_is_told_of_its_end(self) -> None:
+    def test_every_peer_that_received_a_claim_receives_its_release(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=3, workers=1) as fleet:
                 claims = fleet.entries[0]._peers.claims
-                # As after the loss of a peer that was this id's home: all the others are asked.
+                # Simulates the loss of the id's home, after which all other entries are asked.
                 lost = next(f"l{n}" for n in range(99) if is_home(f"l{n}", JOB, fleet))
                 claims._suspected_until[lost] = float("inf")
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(0.4)))
@@ -194,16 +194,16 @@
 
         self.run_async(scenario())
 
-    def test_a_caller_that_hangs_up_before_the_claim_leaves_the_next_one_alone(self) -> None:
+    def test_a_caller_that_disconnects_before_its_claim_does_not_affect_the_next(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                # A young entry without peers grants nothing yet, so the first claim still waits.
+                # An entry grants no ids right after its start, so the first claim still waits.
                 await fleet.hang_up(JOB, after_s=0.2)
                 self.assertEqual(200, (await fleet.submit(JOB)).status)
 
         self.run_async(scenario())
 
-    def test_a_caller_that_hangs_up_has_its_tasks_stopped(self) -> None:
+    def test_the_tasks_of_a_caller_that_disconnects_are_stopped(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 await fleet.hang_up_once_running(JOB, text=make_text(30.0))
@@ -216,7 +216,7 @@
 
 
 class WorkerFaultTests(AsyncTestCase):
-    def test_a_worker_that_crashes_has_its_tasks_run_elsewhere(self) -> None:
+    def test_the_tasks_of_a_crashed_worker_run_elsewhere(self) -> None:
         async def scenario() -> None:
             async with LocalFleet() as fleet:
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(0.6)))
@@ -228,7 +228,7 @@
 
         self.run_async(scenario())
 
-    def test_a_task_that_stands_still_is_moved(self) -> None:
+    def test_a_stalled_task_is_moved(self) -> None:
         async def scenario() -> None:
             async with LocalFleet() as fleet:
                 for worker in fleet.workers:
@@ -243,8 +243,8 @@
 
         self.run_async(scenario())
 
-    def test_what_an_agents_last_life_started_is_over_before_it_runs_elsewhere(self) -> None:
-        """The soak's seed 877342: a new agent lists no runs, since it has not looked yet."""
+    def test_runs_of_an_agents_previous_incarnation_end_before_they_run_elsewhere(self) -> None:
+        """Guards against a second run, as a restarted agent lists no runs before its first poll."""
 
         async def scenario() -> None:
             async with LocalFleet(entries=1) as fleet:
@@ -266,7 +266,7 @@
 
         self.run_async(scenario())
 
-    def test_orders_without_an_answer_never_make_two_runs(self) -> None:
+    def test_unanswered_orders_never_make_two_runs(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1) as fleet:
                 for worker in fleet.workers:
@@ -283,7 +283,7 @@
 
         self.run_async(scenario())
 
-    def test_a_leaving_worker_gets_nothing_new(self) -> None:
+    def test_a_leaving_worker_receives_no_new_tasks(self) -> None:
         async def scenario() -> None:
             async with LocalFleet() as fleet:
                 fleet.workers[0].state = "draining"
@@ -295,9 +295,9 @@
         self.run_async(scenario())
 
 
-class StarvedTests(AsyncTestCase):
+class LateProcessTests(AsyncTestCase):
     def test_a_process_that_was_late_itself_keeps_its_links(self) -> None:
-        """Links were reset by ends that had not listened, again and again on a crowded host."""
+        """Guards against links that are closed again and again on an overloaded host."""
 
         async def scenario() -> None:
             async with LocalFleet(entries=2, workers=1) as fleet:
@@ -311,7 +311,7 @@
 
 
 class PlannedStopTests(AsyncTestCase):
-    def test_an_entry_that_stops_finishes_its_jobs(self) -> None:
+    def test_a_stopping_entry_finishes_its_jobs(self) -> None:
         async def scenario() -> None:
             async with LocalFleet() as fleet:
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(0.6)))
@@ -322,8 +322,8 @@
 
         self.run_async(scenario())
 
-    def test_a_kept_connection_is_closed_as_a_stop_begins(self) -> None:
-        """Its caller connects anew, to an entry that stays, before its next request."""
+    def test_an_idle_connection_is_closed_when_a_stop_begins(self) -> None:
+        """Guards against a next request that comes too late in the stop to be finished."""
 
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
@@ -339,7 +339,7 @@
 
         self.run_async(scenario())
 
-    def test_a_connection_in_use_is_not_closed_as_a_stop_begins(self) -> None:
+    def test_a_connection_in_use_is_not_closed_when_a_stop_begins(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 kept = await fleet.connect()
@@ -353,10 +353,10 @@
 
         self.run_async(scenario())
 
-    def test_an_entry_that_stops_takes_what_it_can_finish(self) -> None:
+    def test_a_stopping_entry_accepts_the_jobs_that_it_can_finish(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                # Nothing is open, so the stop ends early; what counts is when the jobs arrive.
+                # The jobs arrive during the stop, which ends early as no other job is open.
                 stop = asyncio.ensure_future(fleet.entries[0].drain())
                 await wait_until(lambda: fleet.entries[0].is_draining)
                 short = fleet.submit(f"{1:016x}", estimate_ms=100)
@@ -369,7 +369,7 @@
 
         self.run_async(scenario())
 
-    def test_what_a_stop_can_not_finish_is_answered_and_stopped(self) -> None:
+    def test_jobs_that_a_stopping_entry_cannot_finish_are_dropped_and_stopped(self) -> None:
         async def scenario() -> None:
             fleet = LocalFleet(entries=1, workers=1, entry_settings={"grace_s": 1.0})
             async with fleet:
@@ -382,7 +382,7 @@
 
         self.run_async(scenario())
 
-    def test_an_agent_that_stops_finishes_its_runs(self) -> None:
+    def test_a_stopping_agent_finishes_its_runs(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(workers=1) as fleet:
                 job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(0.6)))
--- a/tests/fleet/test_placement.py
+++ b/tests/fleet/test_placement.py
@@ -1,4 +1,4 @@
-"""Which placement an entry uses, by its settings, and where its jobs go."""
+"""Tests of the placement that the settings select, and of where it sends jobs."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 class PlacementTests(unittest.TestCase):
-    def test_work_is_balanced_only_where_it_is_asked_for(self) -> None:
+    def test_work_is_balanced_only_if_the_settings_say_so(self) -> None:
         self.assertIs(FastestPlacement, type(make_placement(make_settings())))
-        asked = make_settings(load=LoadSettings(balances=True))
-        self.assertIs(BalancedPlacement, type(make_placement(asked)))
+        balanced = make_settings(load=LoadSettings(balances=True))
+        self.assertIs(BalancedPlacement, type(make_placement(balanced)))
 
 
 class BalancedFleetTests(AsyncTestCase):
@@ -63,5 +63,5 @@
 
 
 def count_runs(worker: EmulatedWorker, job_id: str) -> int:
-    """Return how many tasks of a job run on a worker."""
+    """Return the number of running tasks of a job on a worker."""
     return sum(task.startswith(job_id) for task in worker.active_tasks)
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -1,4 +1,4 @@
-"""Ways to entries by way of agents: what agents tell, what they relay, and what follows."""
+"""Tests of routes to entries by way of agents: reports, relayed frames and their effects."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from tests.base import AsyncTestCase
 from tests.fleet.base import LocalFleet
 
-OWN, PEER, OTHER = "life-own", "life-peer", "life-other"
+OWN, PEER, OTHER = "own-1", "peer-1", "other-1"
 FRAME = msgspec.json.encode([Beat()]).decode()
 
 
 class FakeLink:
-    """Notes what is sent."""
+    """Records sent messages."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -43,7 +43,7 @@
     def send(self, message: Any) -> None:
         self.sent.append(message)
 
-    def take(self) -> list[Any]:
+    def pop_sent(self) -> list[Any]:
         sent, self.sent = self.sent, []
         return sent
 
@@ -71,7 +71,7 @@
 
 
 class RelayTests(AsyncTestCase):
-    """The agent's part."""
+    """Tests of the relay in an agent."""
 
     def make_relay(self, *owners: str) -> EntryRelay:
         self.sessions: dict[str, OwnerSession] = {}
@@ -82,33 +82,33 @@
         limits = SupervisorLimits(owner_patience_s=0.45, lease_s=0.6, stop_s=0.05)
         return EntryRelay(sessions=self.sessions, supervisor=Supervisor(limits=limits))
 
-    def take(self, owner: str) -> list[Any]:
-        return self.sessions[owner].link.take()  # type: ignore[attr-defined]
+    def pop_sent(self, owner: str) -> list[Any]:
+        return self.sessions[owner].link.pop_sent()  # type: ignore[attr-defined]
 
-    def test_an_entry_that_asks_is_told_now_and_at_each_change(self) -> None:
+    def test_a_requesting_entry_receives_a_report_now_and_at_each_change(self) -> None:
         relay = self.make_relay(OWN, PEER)
         relay.take_ask(self.sessions[OWN], EntriesAsk(number=3, suspects=()))
-        self.assertEqual([EntriesHeard(number=3, entries=(PEER,))], self.take(OWN))
+        self.assertEqual([EntriesHeard(number=3, entries=(PEER,))], self.pop_sent(OWN))
         relay.tell_changes()
-        self.take(OWN)
+        self.pop_sent(OWN)
         relay.tell_changes()
-        self.assertEqual([], self.take(OWN))
+        self.assertEqual([], self.pop_sent(OWN))
         del self.sessions[PEER]
         relay.tell_changes()
-        self.assertEqual([EntriesHeard(number=3, entries=())], self.take(OWN))
+        self.assertEqual([EntriesHeard(number=3, entries=())], self.pop_sent(OWN))
 
-    def test_a_suspect_is_asked_for_a_sign_of_life(self) -> None:
+    def test_a_suspect_is_probed(self) -> None:
         relay = self.make_relay(OWN, PEER)
         relay.take_ask(self.sessions[OWN], EntriesAsk(number=1, suspects=(PEER, OTHER)))
-        (asked,) = self.take(PEER)
-        self.assertIsInstance(asked, ClockAsk)
+        (sent_probe,) = self.pop_sent(PEER)
+        self.assertIsInstance(sent_probe, ClockAsk)
         suspect, now = self.sessions[PEER], clock.monotonic()
         self.assertFalse(suspect.has_missed_probe(now=now))
         self.assertTrue(suspect.has_missed_probe(now=now + PROBE_PATIENCE_S + 0.01))
         suspect.link.heard_at = now + 0.1
         self.assertFalse(suspect.has_missed_probe(now=now + 10.0))
 
-    def test_a_probe_does_not_count_while_the_agent_did_not_listen(self) -> None:
+    def test_a_probe_is_not_missed_during_a_pause_of_the_agent(self) -> None:
         relay = self.make_relay(OWN, PEER)
         suspect, now = self.sessions[PEER], clock.monotonic()
         suspect.link.forgive = lambda late_s: None  # type: ignore[method-assign]
@@ -117,35 +117,35 @@
             suspect.forgive(1.0)
         self.assertFalse(suspect.has_missed_probe(now=now + 1.0))
 
-    def test_frames_and_ends_go_to_their_receiver(self) -> None:
+    def test_frames_and_ends_reach_their_receiver(self) -> None:
         relay = self.make_relay(OWN, PEER)
         for message in (make_frame(), RouteEnded(route="r", sender=OWN, receiver=PEER)):
             relay.pass_on(self.sessions[OWN], message)
-            self.assertEqual([message], self.take(PEER))
-            self.assertEqual([], self.take(OWN))
+            self.assertEqual([message], self.pop_sent(PEER))
+            self.assertEqual([], self.pop_sent(OWN))
 
-    def test_a_frame_to_an_entry_out_of_reach_ends_its_route(self) -> None:
+    def test_a_frame_to_an_unreachable_entry_ends_its_route(self) -> None:
         relay = self.make_relay(OWN)
         relay.pass_on(self.sessions[OWN], make_frame())
-        self.assertEqual([RouteEnded(route="r", sender=PEER, receiver=OWN)], self.take(OWN))
+        self.assertEqual([RouteEnded(route="r", sender=PEER, receiver=OWN)], self.pop_sent(OWN))
         relay.pass_on(self.sessions[OWN], RouteEnded(route="r", sender=OWN, receiver=PEER))
-        self.assertEqual([], self.take(OWN))
+        self.assertEqual([], self.pop_sent(OWN))
 
-    def test_nobody_speaks_in_anothers_name(self) -> None:
+    def test_a_frame_with_a_foreign_sender_is_dropped(self) -> None:
         relay = self.make_relay(OWN, PEER)
         relay.pass_on(self.sessions[OWN], make_frame(sender=OTHER))
-        self.assertEqual([], self.take(PEER))
+        self.assertEqual([], self.pop_sent(PEER))
 
 
 class FakeReceiver:
-    """Opens sessions, and notes those that ended."""
+    """Opens sessions on relayed links, and records them."""
 
     def __init__(self) -> None:
         self.opened: list[PeerSession] = []
-        self.keeper = mock.Mock()
+        self.handler = mock.Mock()
 
     def open_relayed(self, link: RelayedLink, *, is_dialled: bool) -> PeerSession:
-        session = PeerSession(link=link, links=self.keeper, is_dialled=is_dialled, is_relayed=True)
+        session = PeerSession(link=link, links=self.handler, is_dialled=is_dialled, is_relayed=True)
         self.opened.append(session)
         link.send(Beat())
         link.flush()
@@ -156,7 +156,7 @@
 
 
 class PeerRoutesTests(AsyncTestCase):
-    """The entry's part."""
+    """Tests of the routes in an entry."""
 
     def make_routes(self) -> PeerRoutes:
         self.dialled: dict[str, PeerSession] = {}
@@ -165,13 +165,13 @@
         self.agent.name = "agent"
         routes = PeerRoutes(incarnation=OWN, dialled=self.dialled, receiver=self.receiver)
         routes.add_agent(self.agent)
-        self.agent.link.take()
+        self.agent.link.pop_sent()
         return routes
 
-    def hear(self, routes: PeerRoutes, number: int, *entries: str) -> list[Any]:
-        """Let the agent tell whom it hears; return what it is sent then."""
+    def report_entries(self, routes: PeerRoutes, number: int, *entries: str) -> list[Any]:
+        """Report the entries that the agent reaches; return the messages sent to it."""
         routes.handle_reachable_entries(self.agent, EntriesHeard(number=number, entries=entries))
-        return self.agent.link.take()
+        return self.agent.link.pop_sent()
 
     def play(self, scenario: Any) -> None:
         async def run() -> None:
@@ -179,14 +179,14 @@
 
         self.run_async(run())
 
-    def test_a_lost_peer_that_an_agent_hears_is_reached_by_it(self) -> None:
+    def test_a_lost_peer_is_reached_by_way_of_an_agent(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            self.hear(routes, 0)
+            self.report_entries(routes, 0)
             self.assertFalse(routes.may_have_unlinked_peer)
             routes.suspect(PEER)
             self.assertTrue(routes.may_have_unlinked_peer)
-            self.agent.link.take()
-            (frame,) = self.hear(routes, 1, PEER)
+            self.agent.link.pop_sent()
+            (frame,) = self.report_entries(routes, 1, PEER)
             self.assertEqual((OWN, PEER, True), (frame.sender, frame.receiver, frame.is_first))
             self.assertTrue(routes.may_have_unlinked_peer)
             (session,) = self.receiver.opened
@@ -197,14 +197,14 @@
 
         self.play(scenario)
 
-    def test_a_lost_peer_is_gone_once_all_agents_have_answered_since(self) -> None:
+    def test_a_lost_peer_is_gone_once_all_agents_have_responded_since(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             second = mock.Mock(link=FakeLink())
             routes.add_agent(second)
             for agent in (self.agent, second):
                 routes.handle_reachable_entries(agent, EntriesHeard(number=0, entries=()))
             routes.suspect(PEER)
-            self.hear(routes, 1)
+            self.report_entries(routes, 1)
             self.assertTrue(routes.is_awaiting(second))
             self.assertTrue(routes.may_have_unlinked_peer)
             self.assertFalse(routes.is_gone(PEER))
@@ -216,7 +216,7 @@
 
     def test_without_agents_nothing_is_known(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            self.hear(routes, 0)
+            self.report_entries(routes, 0)
             routes.suspect(PEER)
             routes.remove_agent(self.agent)
             self.assertTrue(routes.may_have_unlinked_peer)
@@ -225,36 +225,36 @@
 
         self.play(scenario)
 
-    def test_a_peer_that_was_never_lost_is_left_to_be_dialled_first(self) -> None:
+    def test_a_new_peer_is_dialled_directly_first(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
-            self.assertEqual([], self.hear(routes, 0, PEER))
+            self.assertEqual([], self.report_entries(routes, 0, PEER))
             self.assertTrue(routes.may_have_unlinked_peer)
             routes.tick(clock.monotonic() + DIRECT_DIAL_S + 0.01)
-            sent = self.agent.link.take()
+            sent = self.agent.link.pop_sent()
             self.assertEqual([EntriesAsk, Relayed], [type(message) for message in sent])
             self.assertEqual((PEER,), sent[0].suspects)
 
         self.play(scenario)
 
-    def test_a_route_is_taken_from_its_first_frame_on_and_no_later(self) -> None:
+    def test_a_route_is_accepted_only_with_its_first_frame(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             late = make_frame(sender=PEER, receiver=OWN, is_first=False)
             routes.handle_frame(self.agent, late)
             self.assertEqual([], self.receiver.opened)
             ended = RouteEnded(route="r", sender=OWN, receiver=PEER)
-            self.assertEqual([ended], self.agent.link.take())
+            self.assertEqual([ended], self.agent.link.pop_sent())
             routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             (session,) = self.receiver.opened
             self.assertFalse(session.is_dialled)
-            self.receiver.keeper.handle_message.assert_called_once_with(session, Beat())
+            self.receiver.handler.handle_message.assert_called_once_with(session, Beat())
 
         self.play(scenario)
 
-    def test_a_frame_for_an_earlier_life_is_not_taken(self) -> None:
+    def test_a_frame_for_an_earlier_incarnation_is_refused(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OTHER))
             self.assertEqual([], self.receiver.opened)
-            self.assertIsInstance(self.agent.link.take()[0], RouteEnded)
+            self.assertIsInstance(self.agent.link.pop_sent()[0], RouteEnded)
 
         self.play(scenario)
 
@@ -263,7 +263,7 @@
             routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
             bad = make_frame(sender=PEER, receiver=OWN, frame='[["?"]]', is_first=False)
             routes.handle_frame(self.agent, bad)
-            self.receiver.keeper.end_session.assert_called_once_with(self.receiver.opened[0])
+            self.receiver.handler.end_session.assert_called_once_with(self.receiver.opened[0])
 
         self.play(scenario)
 
@@ -277,22 +277,22 @@
                 session = self.receiver.opened[-1]
                 end()
                 self.assertFalse(session.link.is_open)
-                self.receiver.keeper.end_session.assert_called_with(session)
+                self.receiver.handler.end_session.assert_called_with(session)
 
         self.play(scenario)
 
-    def test_a_link_that_is_given_up_tells_its_other_end(self) -> None:
+    def test_a_link_that_is_closed_notifies_its_other_end(self) -> None:
         def scenario(routes: PeerRoutes) -> None:
             routes.handle_frame(self.agent, make_frame(sender=PEER, receiver=OWN))
-            self.agent.link.take()
+            self.agent.link.pop_sent()
             for _ in range(2):
                 self.receiver.opened[0].link.reset()
             ended = RouteEnded(route="r", sender=OWN, receiver=PEER)
-            self.assertEqual([ended], self.agent.link.take())
+            self.assertEqual([ended], self.agent.link.pop_sent())
 
         self.play(scenario)
 
-    def test_messages_of_one_turn_share_a_frame(self) -> None:
+    def test_messages_of_one_iteration_share_a_frame(self) -> None:
         async def run() -> None:
             frames: list[str] = []
             link = RelayedLink(
@@ -308,15 +308,15 @@
 
 
 class WholePathTests(AsyncTestCase):
-    def test_a_new_life_of_an_entry_ends_the_links_of_earlier_ones(self) -> None:
-        """Their host may have lost power: other entries would be told that they are heard."""
+    def test_a_new_incarnation_of_an_entry_ends_the_links_of_earlier_ones(self) -> None:
+        """Guards against reporting a dead incarnation as reachable after its host lost power."""
 
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (session,) = owners._sessions.values()
                 assert session.member is not None
-                later = make_member("life-later", session.member.name)
+                later = make_member("later-1", session.member.name)
                 owners._end_earlier_lives(make_member(OTHER, "another-entry"))
                 self.assertTrue(session.link.is_open)
                 owners._end_earlier_lives(later)
@@ -325,7 +325,7 @@
 
         self.run_async(run())
 
-    def test_a_configuration_is_neither_told_nor_given_on_a_relayed_link(self) -> None:
+    def test_a_configuration_is_neither_announced_nor_sent_on_a_relayed_link(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 peers = fleet.entries[0]._peers
@@ -334,7 +334,7 @@
                     for is_relayed in (True, False)
                 )
                 for session in (relayed, direct):
-                    peers._tell_declarations(session)
+                    peers._send_declarations(session)
                     version = fleet.entries[0]._configuration.current.version
                     peers._configuration_exchange.send_configuration(
                         session, mock.Mock(version=version)
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -1,4 +1,4 @@
-"""Which entry hears first of room that comes free, while several lack it."""
+"""Tests of the order in which entries that lack capacity receive capacity reports."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 NOW = 10.0
 OWNERS = ("o1", "o2", "o3", "o4")
 ROUNDS = 40
-PAUSE_S = 1.0
-"""Longer than the pause of any owner, so that all are due at each change."""
+ROUND_S = 1.0
+"""Interval between changes, long enough for a report to every owner to be due."""
 
 
-class TurnTests(testtools.TestCase):
-    """Replays an overload in which all entries lack room, and fall due at the same changes."""
+class ReportOrderTests(testtools.TestCase):
+    """Guards against an order that favours some entries while all of them lack capacity."""
 
     def setUp(self) -> None:
         super().setUp()
         limits = SupervisorLimits(owner_patience_s=1e9, lease_s=0.6, stop_s=0.05)
         self.supervisor = Supervisor(limits=limits)
-        life = WorkerLife(
+        incarnation = WorkerLife(
             id="i-1",
             service="floor",
             data_centre="austin",
@@ -37,26 +37,26 @@
             labels=frozenset(),
             is_leaving=False,
         )
-        self.supervisor.meet_life(life, now=NOW)
+        self.supervisor.meet_life(incarnation, now=NOW)
         self.supervisor.look((), (), asked_at=NOW, now=NOW)
-        self.told: list[str] = []
+        self.notified: list[str] = []
         self.sessions: dict[str, OwnerSession] = {}
         for name in OWNERS:
             self.add_owner(name)
 
     def add_owner(self, name: str) -> None:
         session = OwnerSession(link=mock.Mock(), links=mock.Mock())
-        session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
-        # More than is free, so that no one of them is offered the room before the others.
+        session.link.send.side_effect = lambda message: self.record(name, message)  # type: ignore[attr-defined]
+        # More than is free, so that no owner is offered the capacity before the others.
         session.audience.want = Want(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
-    def note(self, name: str, message: object) -> None:
+    def record(self, name: str, message: object) -> None:
         if isinstance(message, RoomNews):
-            self.told.append(name)
+            self.notified.append(name)
 
     def play(self, *, shares_demand: bool) -> list[list[str]]:
-        """Return who was told in which order, change by change."""
+        """Return the owners in the order of their reports, for each change."""
         reports = WorkerReports(
             supervisor=self.supervisor,
             sessions=self.sessions,
@@ -65,23 +65,23 @@
         )
         rounds = []
         for number in range(ROUNDS):
-            self.told = []
-            reports.note_change(now=NOW + number * PAUSE_S)
-            rounds.append(self.told)
+            self.notified = []
+            reports.note_change(now=NOW + number * ROUND_S)
+            rounds.append(self.notified)
         return rounds
 
-    def test_each_owner_is_first_as_often(self) -> None:
+    def test_each_owner_is_first_equally_often(self) -> None:
         rounds = self.play(shares_demand=True)
-        self.assertEqual([sorted(OWNERS)] * ROUNDS, [sorted(told) for told in rounds])
-        firsts = Counter(told[0] for told in rounds)
+        self.assertEqual([sorted(OWNERS)] * ROUNDS, [sorted(notified) for notified in rounds])
+        firsts = Counter(notified[0] for notified in rounds)
         self.assertEqual({name: ROUNDS // len(OWNERS) for name in OWNERS}, firsts)
 
-    def test_each_owner_is_last_as_often(self) -> None:
-        lasts = Counter(told[-1] for told in self.play(shares_demand=True))
+    def test_each_owner_is_last_about_equally_often(self) -> None:
+        lasts = Counter(notified[-1] for notified in self.play(shares_demand=True))
         self.assertEqual(set(OWNERS), set(lasts))
         self.assertLessEqual(max(lasts.values()) - min(lasts.values()), len(OWNERS))
 
-    def test_one_that_is_told_alone_keeps_its_turn(self) -> None:
+    def test_an_owner_that_is_notified_alone_keeps_its_turn(self) -> None:
         reports = WorkerReports(
             supervisor=self.supervisor,
             sessions=self.sessions,
@@ -91,9 +91,9 @@
         reports.note_change(now=NOW)
         self.sessions["o2"].audience.hasten()
         reports.send_due(now=NOW)
-        self.told = []
-        reports.note_change(now=NOW + PAUSE_S)
-        self.assertEqual("o2", self.told[0])
+        self.notified = []
+        reports.note_change(now=NOW + ROUND_S)
+        self.assertEqual("o2", self.notified[0])
 
-    def test_without_the_setting_the_order_is_that_of_the_links(self) -> None:
+    def test_without_the_setting_the_order_of_the_links_applies(self) -> None:
         self.assertEqual([list(OWNERS)] * ROUNDS, self.play(shares_demand=False))
