--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -20,8 +20,8 @@
 CLAIM_TIMEOUT_S = 0.15
 """Timeout of a claim that is sent to the keepers alone. After it, all reachable peers are asked."""
 ALL_PEERS_TIMEOUT_S = 0.6
-"""Timeout of a claim that is sent to all reachable peers. Longer than the time after which a link
-with an unresponsive peer is closed in all but large fleets, so that such a peer is left out."""
+"""Timeout of a claim that is sent to all reachable peers. Except in large fleets, the link with an
+unresponsive peer is closed sooner (see entry/peers.py), and the claim no longer waits for it."""
 STARTUP_GRACE_S = 0.3
 """After its start an entry claims nothing for this long, or until it has received the claims of all
 known entries, which they send in the first message on a link."""
@@ -41,7 +41,7 @@
         """Return whether this entry has claimed an id or is claiming it."""
 
     def is_active(self, job_id: str) -> bool:
-        """Return whether a job has its id granted and is not being stopped."""
+        """Return whether a job's id is granted and the job is not being stopped."""
 
     def yield_job(self, job_id: str) -> None:
         """Stop a job that was submitted to another entry, and release its id once it has ended."""
--- a/dalemast/fleet/entry/job_tracker.py
+++ b/dalemast/fleet/entry/job_tracker.py
@@ -132,7 +132,7 @@
         return job_id in self._open or job_id in self._unfinished_runs
 
     def is_active(self, job_id: str) -> bool:
-        """Return whether a job has its id granted and is not being stopped."""
+        """Return whether a job's id is granted and the job is not being stopped."""
         job = self._open.get(job_id)
         return job is not None and job.is_submitted
 
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -311,7 +311,7 @@
         self._routes.suspect(member.incarnation)
 
     def _receives_on_accepted(self, session: PeerSession, now: float, beat_s: float) -> bool:
-        """Return whether the entry at the other end is received on the link that it has dialled."""
+        """Return whether messages arrive on the link that the other entry has dialled."""
         member = session.member
         accepted = None if member is None else self._accepted.get(member.incarnation)
         return (
@@ -398,7 +398,7 @@
             self.end_session(session)
             return
         self._dialled[member.name] = session
-        # Changes since the link was opened have been sent to greeted entries only.
+        # Changes made since the link was opened were sent to greeted entries only.
         self._send_declarations(session)
         for crashed in self._make_crashes():
             # A restarted peer may receive a job whose tasks have crashed workers before.
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -104,7 +104,7 @@
 
     @property
     def may_have_unlinked_peer(self) -> bool:
-        """Whether a peer may be running with which this entry has no link.
+        """Whether a peer may be running that has no link with this entry.
 
         True until all agents have responded, and while they reach an entry that is not linked yet.
         Also true without any agent, since nothing is known then.
