--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -4,6 +4,7 @@
 
 import math
 from collections.abc import Callable, Iterable
+
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
 from dalemast.core.scheduling import (
@@ -36,7 +37,6 @@
     AgentHello,
     AgentMessage,
     CapacityReleases,
-    CapacityReport as CapacityFrame,
     CapacityRequestUpdate,
     ClockRequest,
     ClockResponse,
@@ -58,11 +58,13 @@
     WorkerPace,
     WorkerReport,
 )
+from dalemast.fleet.frames import (
+    CapacityReport as CapacityFrame,
+)
 from dalemast.fleet.links import Link
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import log_event
 
-
 __all__ = ["AgentLinks"]
 
 LOGGED_END_REASONS = frozenset(
@@ -375,7 +377,9 @@
         """Handle a crash, and notify the peers of the crashed tasks that this entry owns."""
         own = tuple(row for row in message.tasks if row.job in self._scheduler.open_jobs)
         if own:
-            self._notify_peers(WorkerCrashed(worker=message.worker, tasks=own, is_seen=message.is_seen))
+            self._notify_peers(
+                WorkerCrashed(worker=message.worker, tasks=own, is_seen=message.is_seen)
+            )
         self._record_crash(message, is_relayed=False)
 
     def handle_relayed_reports(self, message: WorkerCrashed) -> None:
--- a/dalemast/fleet/entry/claims.py
+++ b/dalemast/fleet/entry/claims.py
@@ -9,6 +9,9 @@
     Iterable,
     Mapping,
 )
+from dataclasses import dataclass
+from typing import Protocol
+
 from dalemast import clock
 from dalemast.core.ownership import (
     Claims,
@@ -25,9 +28,6 @@
     Yield,
 )
 from dalemast.observability import log_event
-from dataclasses import dataclass
-from typing import Protocol
-
 
 __all__ = ["JobClaims", "OwnJobs", "PeerSearch"]
 
--- a/dalemast/fleet/entry/configuration_exchange.py
+++ b/dalemast/fleet/entry/configuration_exchange.py
@@ -4,6 +4,9 @@
 
 import random
 from collections.abc import Iterable, Mapping
+
+import msgspec
+
 from dalemast import clock
 from dalemast.core.catch_up import (
     CopyLimit,
@@ -22,9 +25,6 @@
 from dalemast.fleet.links import encode_message
 from dalemast.observability import log_event
 
-import msgspec
-
-
 __all__ = ["ConfigurationExchange"]
 
 
--- a/dalemast/fleet/entry/demand.py
+++ b/dalemast/fleet/entry/demand.py
@@ -3,6 +3,9 @@
 from __future__ import annotations
 
 from collections.abc import Collection
+
+import msgspec
+
 from dalemast import clock
 from dalemast.core.scheduling import QueuedDemand, Scheduler
 from dalemast.core.scheduling.demand_reports import get_demand_report_interval_s
@@ -12,9 +15,6 @@
 from dalemast.fleet.links import encode_message
 from dalemast.observability import Metrics, log_event
 
-import msgspec
-
-
 __all__ = ["DemandExchange"]
 
 LOG_INTERVAL_S = 1.0
--- a/dalemast/fleet/entry/peer_sessions.py
+++ b/dalemast/fleet/entry/peer_sessions.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
+from typing import Protocol
+
 from dalemast import clock
 from dalemast.core.scheduling.demand_reports import DemandSubscriber
 from dalemast.fleet.base import Member
 from dalemast.fleet.frames import PeerMessage
 from dalemast.fleet.links import BaseLink
-from typing import Protocol
-
 
 __all__ = ["PeerSession", "PeerSessionHandler"]
 
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+
 from dalemast import clock
 from dalemast.core.evacuations import Evacuations
 from dalemast.fleet.address_book import (
@@ -50,7 +51,6 @@
 from dalemast.fleet.timing import FleetTimes
 from dalemast.observability import log_event
 
-
 __all__ = ["PeerLinks"]
 
 MIN_BEAT_S = 0.2
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -41,7 +41,7 @@
 from dalemast.fleet.links import LinkListener, LinkRoute
 from dalemast.fleet.paths import AGENTS_PATH, PEERS_PATH
 from dalemast.fleet.pauses import PauseWatch
-from dalemast.fleet.process import BaseFleetProcess, TICK_S
+from dalemast.fleet.process import TICK_S, BaseFleetProcess
 from dalemast.observability import log_event
 from dalemast.process import make_incarnation
 from dalemast.settings import FleetEntrySettings
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -13,6 +13,11 @@
 import itertools
 import random
 from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Protocol
+
+import msgspec
+
 from dalemast import clock
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.peer_sessions import PeerSession
@@ -25,11 +30,6 @@
 )
 from dalemast.fleet.links import RelayedLink
 from dalemast.observability import log_error, log_event
-from dataclasses import dataclass
-from typing import Protocol
-
-import msgspec
-
 
 __all__ = ["PeerRoutes", "RouteReceiver"]
 
@@ -196,7 +196,9 @@
             del self._suspects[incarnation]
 
     def _send_request(self, session: AgentSession) -> None:
-        request = ReachableEntriesRequest(number=self._last_request_number, suspects=tuple(self._suspects))
+        request = ReachableEntriesRequest(
+            number=self._last_request_number, suspects=tuple(self._suspects)
+        )
         session.link.send(request)
 
     def _is_awaiting_responses(self) -> bool:
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -4,11 +4,13 @@
 
 import asyncio
 import unittest
+from unittest import mock
+
 from dalemast.core.scheduling import CrashedTask
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.crashes import (
-    CrashMemory,
     MAX_CRASHES,
+    CrashMemory,
     make_crashed,
     read_crashed,
 )
@@ -21,8 +23,6 @@
 )
 from tests.base import AsyncTestCase
 from tests.fleet.base import LocalFleet, make_text
-from unittest import mock
-
 
 JOB = "00000000000000e1"
 SOUND_JOB = "00000000000000e2"
--- a/tests/fleet/test_demand.py
+++ b/tests/fleet/test_demand.py
@@ -5,6 +5,9 @@
 import asyncio
 import contextlib
 from collections.abc import Callable
+from typing import Any
+from unittest import mock
+
 from dalemast import clock
 from dalemast.core.scheduling.demand import MAX_ROWS
 from dalemast.fleet.entry import FleetEntryProcess
@@ -13,15 +16,12 @@
 from dalemast.settings.fleet import LoadSettings
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import (
-    LocalFleet,
     SERVICE,
+    LocalFleet,
     make_text,
     settle,
 )
 from tests.fleet.test_silent import ProxiedFleet
-from typing import Any
-from unittest import mock
-
 
 JOB = "00000000000000d{:x}"
 SHARING = {"load": LoadSettings(shares_demand=True)}
--- a/tests/fleet/test_evacuations.py
+++ b/tests/fleet/test_evacuations.py
@@ -3,6 +3,11 @@
 from __future__ import annotations
 
 import asyncio
+from typing import Any
+from unittest import mock
+
+import msgspec
+
 from dalemast.core.evacuations import Evacuations
 from dalemast.fleet.entry import FleetEntryProcess
 from dalemast.fleet.frames import (
@@ -20,11 +25,6 @@
     make_text,
     settle,
 )
-from typing import Any
-from unittest import mock
-
-import msgspec
-
 
 WACO = 1
 """Index of the worker in waco; the other one is in austin."""
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -2,9 +2,14 @@
 
 from __future__ import annotations
 
+from typing import Any
+from unittest import mock
+
+import msgspec
+
 from dalemast import clock
 from dalemast.core.supervision import Supervisor, SupervisorLimits
-from dalemast.fleet.agent.owner_sessions import OwnerSession, PROBE_PATIENCE_S
+from dalemast.fleet.agent.owner_sessions import PROBE_PATIENCE_S, OwnerSession
 from dalemast.fleet.agent.relay import EntryRelay
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
@@ -22,11 +27,6 @@
 from dalemast.fleet.links import RelayedLink
 from tests.base import AsyncTestCase
 from tests.fleet.base import LocalFleet
-from typing import Any
-from unittest import mock
-
-import msgspec
-
 
 OWN, PEER, OTHER = "own-1", "peer-1", "other-1"
 FRAME = msgspec.json.encode([LinkHeartbeat()]).decode()
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -3,6 +3,10 @@
 from __future__ import annotations
 
 from collections import Counter
+from unittest import mock
+
+import testtools
+
 from dalemast.core.scheduling import CapacityRequest, LoadPolicy
 from dalemast.core.supervision import (
     Supervisor,
@@ -14,10 +18,6 @@
 from dalemast.fleet.agent.reports import WorkerReports
 from dalemast.fleet.frames import CapacityReport
 from dalemast.observability import Metrics
-from unittest import mock
-
-import testtools
-
 
 NOW = 10.0
 OWNERS = ("o1", "o2", "o3", "o4")
