--- a/dalemast/emulator/store.py
+++ b/dalemast/emulator/store.py
@@ -10,7 +10,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.web import Application, RequestHandler
 
-from dalemast.http.server import bind_address, log_nothing
+from dalemast.http.server import bind_address, skip_access_log
 from dalemast.platform.wire import FeedAnswer, RowBody, RowsAnswer
 
 __all__ = ["EmulatedStore"]
@@ -97,7 +97,7 @@
     def start(self) -> None:
         """Listen."""
         routes = [("/v1/rows-(get|feed|tx)", RowsHandler, {"store": self})]
-        self._server = HTTPServer(Application(routes, log_function=log_nothing))
+        self._server = HTTPServer(Application(routes, log_function=skip_access_log))
         sockets, self._address = bind_address(self._address)
         self._server.add_sockets(sockets)
 
--- a/dalemast/emulator/worker.py
+++ b/dalemast/emulator/worker.py
@@ -17,7 +17,7 @@
 from dalemast.emulator.fates import ALL_SERVED, CallFates, CallKind, CallRecord, Fate
 from dalemast.emulator.runs import EmulatedRuns, Order
 from dalemast.http.client import HttpFailure, JsonClient
-from dalemast.http.server import bind_address, log_nothing
+from dalemast.http.server import bind_address, skip_access_log
 from dalemast.platform.lives import make_life_id
 from dalemast.platform.wire import (
     EXPECTED_LIFE_HEADER,
@@ -243,7 +243,7 @@
             (STOP_PATH, CallHandler, {"worker": self, "kind": CallKind.STOP}),
             (LOOK_PATH, CallHandler, {"worker": self, "kind": CallKind.LOOK}),
         ]
-        self._server = HTTPServer(Application(routes, log_function=log_nothing))
+        self._server = HTTPServer(Application(routes, log_function=skip_access_log))
         sockets, self._address = bind_address(self._address)
         self._server.add_sockets(sockets)
         self._beating = self._spawn(self._beat_forever())
--- a/dalemast/http/connections.py
+++ b/dalemast/http/connections.py
@@ -9,7 +9,7 @@
 
 from dalemast.http.messages import HttpFailure, JsonResponse
 
-__all__ = ["MAX_BODY_BYTES", "MAX_HEAD_BYTES", "KeptConnection"]
+__all__ = ["MAX_BODY_BYTES", "MAX_HEAD_BYTES", "PersistentConnection"]
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
 """Longest body that is taken in: the platform's lists come in pages of at most 1 MB."""
@@ -19,14 +19,14 @@
 """Lower ones announce that the response is still to come."""
 
 
-class KeptConnection(asyncio.Protocol):
+class PersistentConnection(asyncio.Protocol):
     """One connection, with at most one call at a time. It also takes the parser's callbacks.
 
     ``on_end`` is called once when the connection has ended, unless :meth:`mark_forgotten` came
     before.
     """
 
-    def __init__(self, *, on_end: Callable[[KeptConnection], None]) -> None:
+    def __init__(self, *, on_end: Callable[[PersistentConnection], None]) -> None:
         self._on_end = on_end
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
--- a/dalemast/http/direct.py
+++ b/dalemast/http/direct.py
@@ -15,14 +15,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from dalemast.http.connections import KeptConnection
+from dalemast.http.connections import PersistentConnection
 from dalemast.http.messages import HttpFailure, JsonResponse, encode_body
 
-__all__ = ["DirectClient", "Greeting"]
+__all__ = ["DirectClient", "ConnectionHandshake"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Greeting:
+class ConnectionHandshake:
     """The call that each connection begins with, to find out who is at its other end.
 
     ``accept`` gets the response; what it raises ends the connection and the call that wanted it.
@@ -38,14 +38,14 @@
     """Calls one address. ``max_connections`` bounds how many calls are under way at a time."""
 
     def __init__(
-        self, *, address: str, max_connections: int, greeting: Greeting | None = None
+        self, *, address: str, max_connections: int, handshake: ConnectionHandshake | None = None
     ) -> None:
         self._address = address
         self._host, _, port = address.rpartition(":")
         self._port = int(port)
         self._max_connections = max_connections
-        self._greeting = greeting
-        self._idle: list[KeptConnection] = []
+        self._handshake = handshake
+        self._idle: list[PersistentConnection] = []
         self._open = 0
         """Connections that are idle, in use or being opened."""
         self._waiting: deque[asyncio.Future[None]] = deque()
@@ -88,7 +88,7 @@
         )
         return head.encode() + body
 
-    async def _acquire(self, over_at: float, *, is_fresh: bool) -> KeptConnection:
+    async def _acquire(self, over_at: float, *, is_fresh: bool) -> PersistentConnection:
         """Return a connection for one call: a kept one, a new one, or the first to become free."""
         while True:
             if self._idle and not is_fresh:
@@ -105,25 +105,25 @@
                 continue
             await self._wait_for_release(over_at)
 
-    def _forget(self, connection: KeptConnection) -> None:
+    def _forget(self, connection: PersistentConnection) -> None:
         """Note that a connection has ended."""
         if connection in self._idle:
             self._idle.remove(connection)
         self._open -= 1
         self._wake_next()
 
-    def _forget_aborted(self, connection: KeptConnection) -> None:
+    def _forget_aborted(self, connection: PersistentConnection) -> None:
         """Count a connection as ended at once; its end is reported only in a later turn."""
         if connection.mark_forgotten():
             self._forget(connection)
 
-    async def _connect(self, over_at: float) -> KeptConnection:
+    async def _connect(self, over_at: float) -> PersistentConnection:
         loop = asyncio.get_running_loop()
         self._open += 1
         try:
             async with asyncio.timeout_at(over_at):
                 _, connection = await loop.create_connection(
-                    lambda: KeptConnection(on_end=self._forget), self._host, self._port
+                    lambda: PersistentConnection(on_end=self._forget), self._host, self._port
                 )
         except TimeoutError as error:
             self._drop_opening()
@@ -137,16 +137,18 @@
         except asyncio.CancelledError:
             self._drop_opening()
             raise
-        if self._greeting is not None:
-            await self._greet(connection, self._greeting, over_at)
+        if self._handshake is not None:
+            await self._perform_handshake(connection, self._handshake, over_at)
         return connection
 
-    async def _greet(self, connection: KeptConnection, greeting: Greeting, over_at: float) -> None:
+    async def _perform_handshake(
+        self, connection: PersistentConnection, handshake: ConnectionHandshake, over_at: float
+    ) -> None:
         """Make sure of who is at the other end before anything else is said there."""
-        body = encode_body(greeting.body) or b""
-        data = self._make_request("POST", greeting.path, body, greeting.headers)
+        body = encode_body(handshake.body) or b""
+        data = self._make_request("POST", handshake.path, body, handshake.headers)
         try:
-            greeting.accept(await connection.exchange(data, over_at))
+            handshake.accept(await connection.exchange(data, over_at))
         except BaseException:
             connection.abort()
             raise
@@ -170,7 +172,7 @@
                 # It may have been this call's turn as it ended.
                 self._wake_next()
 
-    def _release(self, connection: KeptConnection) -> None:
+    def _release(self, connection: PersistentConnection) -> None:
         if connection.is_reusable:
             self._idle.append(connection)
             self._wake_next()
--- a/dalemast/http/server.py
+++ b/dalemast/http/server.py
@@ -13,7 +13,7 @@
 from dalemast.http.base import NotFoundHandler
 from dalemast.settings import ListenerSettings
 
-__all__ = ["BACKLOG", "Listener", "bind_address", "log_nothing"]
+__all__ = ["BACKLOG", "Listener", "bind_address", "skip_access_log"]
 
 BACKLOG = 1024
 """Connections that may wait to be accepted on an address where many clients connect at once."""
@@ -38,7 +38,7 @@
         self._application = Application(
             routes,  # type: ignore[arg-type]
             default_handler_class=NotFoundHandler,
-            log_function=log_nothing,
+            log_function=skip_access_log,
             websocket_ping_interval=websocket_ping_s,
             websocket_max_message_size=max_body_bytes,
         )
@@ -84,7 +84,7 @@
     return sockets, f"{host}:{sockets[0].getsockname()[1]}"
 
 
-def log_nothing(handler: RequestHandler) -> None:
+def skip_access_log(handler: RequestHandler) -> None:
     """Log no line for each request: requests are logged where they are decided on."""
 
 
--- a/dalemast/platform/ingress.py
+++ b/dalemast/platform/ingress.py
@@ -22,7 +22,7 @@
 )
 from dalemast.fleet.base import BaseIngress, JobDone, JobDropped, JobOutcome, JobRejected, Jobs
 from dalemast.http.callers import CallerServer
-from dalemast.http.server import BACKLOG, bind_address, log_nothing
+from dalemast.http.server import BACKLOG, bind_address, skip_access_log
 from dalemast.observability import log_event
 from dalemast.platform.wire import (
     DEADLINE_HEADER,
@@ -188,11 +188,11 @@
     def __init__(self, *, settings: FleetEntrySettings, jobs: Jobs) -> None:
         super().__init__(settings=settings, jobs=jobs)
         arguments = {"jobs": jobs}
-        application = Application([(".*", JobHandler, arguments)], log_function=log_nothing)
+        application = Application([(".*", JobHandler, arguments)], log_function=skip_access_log)
         self._callers = CallerServer(application, max_body_size=MAX_BODY_BYTES)
         application.settings[SERVER_SETTING] = self._callers
         self._readiness = HTTPServer(
-            Application([(READY_PATH, ReadyHandler, arguments)], log_function=log_nothing)
+            Application([(READY_PATH, ReadyHandler, arguments)], log_function=skip_access_log)
         )
 
     @property
--- a/dalemast/platform/registration.py
+++ b/dalemast/platform/registration.py
@@ -12,7 +12,7 @@
 from dalemast.core.supervision import WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.fleet.base import BaseRegistration, WorkerObserver
-from dalemast.http.server import bind_address, log_nothing
+from dalemast.http.server import bind_address, skip_access_log
 from dalemast.observability import Metrics, RefusalLog
 from dalemast.platform.foreign import ForeignInput, check_id, read_report
 from dalemast.platform.lines import Account, ReportLines
@@ -88,7 +88,7 @@
                     (r"/v1/Instances\.Heartbeat/([^/]+)", HeartbeatHandler, arguments),
                     (r"/v1/Instances\.Deregister/([^/]+)", DeregisterHandler, arguments),
                 ],
-                log_function=log_nothing,
+                log_function=skip_access_log,
             ),
             max_body_size=MAX_REPORT_BYTES,
             max_buffer_size=2 * MAX_REPORT_BYTES,
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -30,7 +30,7 @@
     WorkerUnanswered,
 )
 from dalemast.fleet.timing import WORKER_CLOCK_ERROR, WORKER_CLOCK_STRETCH
-from dalemast.http.direct import DirectClient, Greeting
+from dalemast.http.direct import ConnectionHandshake, DirectClient
 from dalemast.http.messages import HttpFailure, JsonResponse
 from dalemast.observability import log_event
 from dalemast.platform.lives import read_life_id
@@ -239,10 +239,12 @@
         self._orders = self._make_client(ORDER_CONNECTIONS, greeting=greeting)
         self._looks = self._make_client(1, greeting=greeting)
 
-    def _make_client(self, connections: int, *, greeting: Greeting | None) -> DirectClient:
-        return DirectClient(address=self._address, max_connections=connections, greeting=greeting)
+    def _make_client(
+        self, connections: int, *, greeting: ConnectionHandshake | None
+    ) -> DirectClient:
+        return DirectClient(address=self._address, max_connections=connections, handshake=greeting)
 
-    def _make_greeting(self) -> Greeting | None:
+    def _make_greeting(self) -> ConnectionHandshake | None:
         """Return a look that neither renews a lease nor takes note of ends, if lives share ids."""
         _, born_ms = read_life_id(self._life_id)
         if born_ms is msgspec.UNSET:
@@ -259,7 +261,7 @@
                 raise OtherLife
 
         call = HoldCall(fence=self._fence, ends_seen=0)
-        return Greeting(path=LOOK_PATH, body=call, headers=headers, accept=accept)
+        return ConnectionHandshake(path=LOOK_PATH, body=call, headers=headers, accept=accept)
 
     def _to_worker_ms(self, at: float) -> int:
         """Return a moment in milliseconds of the worker's clock, no later than it truly is."""
