--- a/dalemast/agent/__init__.py
+++ b/dalemast/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: one small process beside each endpoint."""
+"""The agent: a small process that runs next to each endpoint."""
 
 from dalemast.agent.process import AgentProcess
 
--- a/dalemast/agent/endpoints.py
+++ b/dalemast/agent/endpoints.py
@@ -1,9 +1,8 @@
-"""Call an endpoint with one task, at most once.
+"""Call an endpoint for one task, at most once.
 
-Every call opens its own connection. A client that keeps connections sends a request again when a
-kept one turns out dead, and by then the endpoint may have begun the first: curl does so for a POST
-too. docs/decisions/0003-endpoint-calls.md has the measurement, tests/agent/test_endpoints.py the
-proof.
+Every call opens a new connection. When a reused connection turns out to be dead, curl sends the
+request again, even a POST, although the endpoint may have started the task already. See
+docs/decisions/0003-endpoint-calls.md and tests/agent/test_endpoints.py.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 
 
 class _Call(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of a call."""
+    """Request body of a call."""
 
     task: str
     service: str
@@ -34,15 +33,15 @@
 
 
 class BaseEndpoint(abc.ABC):
-    """Something that runs tasks."""
+    """Interface of an endpoint that runs tasks."""
 
     @abc.abstractmethod
     async def run(self, task: RunTask) -> TaskOutcome:
-        """Run a task once and return its outcome; never raises."""
+        """Run a task at most once and return its outcome; never raise."""
 
 
 class HttpEndpoint(BaseEndpoint):
-    """The endpoint as an HTTP server. Times are seconds."""
+    """An endpoint that is an HTTP server."""
 
     def __init__(self, *, url: str, max_calls: int, max_run_s: float) -> None:
         self._url = url
@@ -50,7 +49,7 @@
         self._client = CurlAsyncHTTPClient(force_instance=True, max_clients=max_calls)
 
     async def run(self, task: RunTask) -> TaskOutcome:
-        """Post the task and judge the response."""
+        """Post the task and derive its outcome from the response."""
         started_at = clock.monotonic()
         try:
             response = await self._client.fetch(self._make_request(task), raise_error=False)
@@ -60,18 +59,18 @@
             return _make_outcome(task, started_at, kind, error=str(error))
         if response.code != 200:
             text = (response.body or b"")[:MAX_ERROR_TEXT].decode(errors="replace")
-            message = f"the endpoint answered {response.code}: {text}"
+            message = f"the endpoint responded with status {response.code}: {text}"
             return _make_outcome(task, started_at, OutcomeKind.FAILED, error=message)
-        return self._judge_body(task, started_at, response.body or b"")
+        return self._parse_answer(task, started_at, response.body or b"")
 
-    def _judge_body(self, task: RunTask, started_at: float, body: bytes) -> TaskOutcome:
+    def _parse_answer(self, task: RunTask, started_at: float, body: bytes) -> TaskOutcome:
         if len(body) > MAX_ANSWER_BYTES:
-            message = f"the answer has over {MAX_ANSWER_BYTES} bytes"
+            message = f"the answer is {len(body)} bytes long, the limit is {MAX_ANSWER_BYTES}"
             return _make_outcome(task, started_at, OutcomeKind.FAILED, error=message)
         try:
             value = msgspec.json.decode(body, type=msgspec.Raw)
         except (msgspec.MsgspecError, RecursionError) as error:
-            message = f"the answer is not JSON: {error}"
+            message = f"the answer is not valid JSON: {error}"
             return _make_outcome(task, started_at, OutcomeKind.FAILED, error=message)
         return _make_outcome(task, started_at, OutcomeKind.ANSWERED, value=value)
 
--- a/dalemast/agent/engine.py
+++ b/dalemast/agent/engine.py
@@ -1,4 +1,4 @@
-"""Drive the gate: run its tasks, carry its frames, wake it when time passes."""
+"""Run the gate: execute its tasks, send its frames and drive its clock."""
 
 from __future__ import annotations
 
@@ -13,78 +13,78 @@
 from dalemast.core.wire import AgentFrame, EntryFrame, EntryHello
 from dalemast.observability import Metrics
 
-__all__ = ["AgentEngine", "Outlet"]
+__all__ = ["AgentEngine", "MessageSender"]
 
 TICK_S = 0.1
 
 _decode_frame = msgspec.json.Decoder(EntryFrame).decode
 
 
-class Outlet(Protocol):
+class MessageSender(Protocol):
     """The sending side of a link."""
 
     def send(self, data: bytes) -> None:
-        """Send a message without waiting."""
+        """Queue a message for sending."""
 
     def end(self) -> None:
         """Close the link."""
 
 
 class AgentEngine:
-    """The gate with its clock, its endpoint and its links."""
+    """Connects the gate to the clock, the endpoint and the links."""
 
     def __init__(self, *, gate: Gate, endpoint: BaseEndpoint, metrics: Metrics) -> None:
         self._gate = gate
         self._endpoint = endpoint
         self._metrics = metrics
-        self._outlets: dict[str, Outlet] = {}
+        self._senders: dict[str, MessageSender] = {}
         self._runs: set[asyncio.Task[None]] = set()
         self._is_collecting = False
         self._ticker: asyncio.Task[None] | None = None
 
     @property
     def gate(self) -> Gate:
-        """The gate."""
+        """The gate, which accepts or refuses starts and keeps their outcomes."""
         return self._gate
 
     def start(self) -> None:
-        """Begin to watch the time."""
+        """Start the timer."""
         self._ticker = asyncio.create_task(self._tick())
 
     async def stop(self) -> None:
-        """End every task and link."""
+        """Cancel all tasks and close all links."""
         for task in (*self._runs, self._ticker):
             if task is not None:
                 task.cancel()
-        for outlet in list(self._outlets.values()):
-            outlet.end()
+        for sender in list(self._senders.values()):
+            sender.end()
 
-    def open_link(self, hello: EntryHello, outlet: Outlet) -> bool:
-        """Greet an owner on a new link; False when the link is refused."""
+    def open_link(self, hello: EntryHello, sender: MessageSender) -> bool:
+        """Answer an owner's hello on a new link; return False if the link is refused."""
         opened = self._gate.open_link(now=clock.monotonic(), hello=hello)
         if opened is None:
             self._metrics.count("links.refused")
             return False
-        previous = self._outlets.get(hello.owner)
-        self._outlets[hello.owner] = outlet
+        previous = self._senders.get(hello.owner)
+        self._senders[hello.owner] = sender
         if previous is not None:
             previous.end()
         answer, frames = opened
-        outlet.send(msgspec.json.encode(answer))
+        sender.send(msgspec.json.encode(answer))
         for frame in frames:
             self._metrics.count("frames.resent")
-            outlet.send(msgspec.json.encode(frame))
+            sender.send(msgspec.json.encode(frame))
         self._schedule()
         return True
 
-    def close_link(self, hello: EntryHello, outlet: Outlet) -> None:
-        """Note that a link ended."""
-        if self._outlets.get(hello.owner) is outlet:
-            del self._outlets[hello.owner]
+    def close_link(self, hello: EntryHello, sender: MessageSender) -> None:
+        """Unregister a closed link."""
+        if self._senders.get(hello.owner) is sender:
+            del self._senders[hello.owner]
         self._gate.close_link(now=clock.monotonic(), owner=hello.owner, connection=hello.connection)
 
     def receive(self, owner: str, data: bytes | str) -> None:
-        """Take a message of an owner."""
+        """Handle a message from an owner."""
         self._metrics.count("frames.received")
         self._metrics.count("bytes.received", len(data))
         self._gate.receive(now=clock.monotonic(), owner=owner, frame=_decode_frame(data))
@@ -116,16 +116,16 @@
             self._send(owner, frame)
 
     def _send(self, owner: str, frame: AgentFrame) -> None:
-        outlet = self._outlets.get(owner)
-        if outlet is None:
+        sender = self._senders.get(owner)
+        if sender is None:
             return
         data = msgspec.json.encode(frame)
-        is_useful = bool(frame.answers)
-        self._metrics.count("frames.sent.answers" if is_useful else "frames.sent.other")
-        self._metrics.count("bytes.sent.answers" if is_useful else "bytes.sent.other", len(data))
+        has_answers = bool(frame.answers)
+        self._metrics.count("frames.sent.answers" if has_answers else "frames.sent.other")
+        self._metrics.count("bytes.sent.answers" if has_answers else "bytes.sent.other", len(data))
         if frame.refusals:
             self._metrics.count("tasks.refused", len(frame.refusals))
-        outlet.send(data)
+        sender.send(data)
 
     async def _run(self, run: RunTask) -> None:
         outcome = await self._endpoint.run(run)
--- a/dalemast/agent/operators.py
+++ b/dalemast/agent/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask of an agent."""
+"""The operators' API of an agent."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RunningTask(msgspec.Struct, frozen=True, kw_only=True):
-    """A task that runs now."""
+    """A task that is currently running."""
 
     owner: str
     job: int
@@ -23,7 +23,7 @@
 
 
 class AgentState(msgspec.Struct, frozen=True, kw_only=True):
-    """The dump of an agent."""
+    """State dump of an agent."""
 
     role: str
     name: str
@@ -44,7 +44,7 @@
 
 
 class AgentOperators:
-    """The agent as its operators' handlers see it."""
+    """Dependencies of the operators' handlers."""
 
     def __init__(
         self, *, engine: AgentEngine, settings: AgentSettings, metrics: Metrics, token: str
@@ -55,21 +55,21 @@
         self._settings = settings
 
     def get_status(self) -> str:
-        """Return whether starts are accepted."""
+        """Return "draining" if new starts are refused, else "ready"."""
         return "draining" if self.engine.gate.is_draining else "ready"
 
     def get_state(self) -> AgentState:
-        """Return the dump."""
+        """Return the state dump."""
         return get_state(self.engine, self._settings)
 
 
 class DrainHandler(OperatorsHandler):
-    """``POST /v1/drain`` takes the endpoint out, ``DELETE /v1/drain`` puts it back."""
+    """``POST /v1/drain`` takes the endpoint out of service, ``DELETE /v1/drain`` puts it back."""
 
     _process: AgentOperators
 
     def post(self) -> None:
-        """Refuse new starts from now on; what runs goes on."""
+        """Refuse new starts from now on; running tasks continue."""
         self._process.engine.start_draining()
         self.send_json(self._process.get_state())
 
@@ -80,7 +80,7 @@
 
 
 def get_state(engine: AgentEngine, settings: AgentSettings) -> AgentState:
-    """Return the dump of an agent."""
+    """Return the state dump of an agent."""
     gate = engine.gate
     return AgentState(
         role="agent",
@@ -108,6 +108,6 @@
 def get_operators_routes(
     *, engine: AgentEngine, settings: AgentSettings, metrics: Metrics, token: str
 ) -> list[Route]:
-    """Return the routes of the operators' listener."""
+    """Return the routes for the operators' listener."""
     process = AgentOperators(engine=engine, settings=settings, metrics=metrics, token=token)
     return [*get_common_routes(process), ("/v1/drain", DrainHandler, {"process": process})]
--- a/dalemast/agent/process.py
+++ b/dalemast/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent as a process."""
+"""The agent process: wires the engine and its listeners together."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class AgentProcess(BaseProcess):
-    """One agent: its gate, its link listener and its operators' listener."""
+    """An agent: the gate's engine, the link listener and the operators' listener."""
 
     def __init__(
         self, *, settings: AgentSettings, system_key: bytes, operators_token: str = ""
@@ -66,33 +66,33 @@
 
     @property
     def engine(self) -> AgentEngine:
-        """The engine, for dumps and tests."""
+        """The engine, for state dumps and tests."""
         return self._engine
 
     @property
     def metrics(self) -> Metrics:
-        """The counters and latencies."""
+        """The counters and latency histograms."""
         return self._metrics
 
     @property
     def link_address(self) -> str:
-        """Where entries connect."""
+        """The address at which entries connect."""
         return self._link_listener.address
 
     @property
     def operators_address(self) -> str:
-        """Where operators connect."""
+        """The address at which operators connect."""
         return self._operators_listener.address
 
     async def start(self) -> None:
-        """Listen for entries and operators."""
+        """Start the timer and listen for entries and operators."""
         self._engine.start()
         self._link_listener.start()
         self._operators_listener.start()
         log_event("agent:started", name=self._settings.name)
 
     async def drain(self) -> None:
-        """Refuse starts, finish what runs, and wait until owners have every answer."""
+        """Refuse starts and wait, within the drain limit, until owners confirmed every answer."""
         self._engine.start_draining()
         log_event("agent:draining", name=self._settings.name)
         give_up_at = clock.monotonic() + self._settings.drain_limit_s
@@ -102,18 +102,18 @@
             await asyncio.sleep(DRAIN_POLL_S)
 
     def get_unfinished(self) -> list[str]:
-        """Return the tasks that run and the answers that no owner has confirmed."""
+        """Describe the running tasks and the answers that no owner has confirmed."""
         gate = self._engine.gate
-        cut_off = [
+        unfinished = [
             f"task {run.owner}/{run.job}/{run.index} of {run.service}" for run in gate.get_running()
         ]
         undelivered = gate.count_undelivered(clock.monotonic())
         if undelivered:
-            cut_off.append(f"{undelivered} frames with answers that no owner confirmed")
-        return cut_off
+            unfinished.append(f"{undelivered} frames with answers that no owner confirmed")
+        return unfinished
 
     async def close(self) -> None:
-        """Close every socket."""
+        """Stop the engine and close all sockets."""
         await self._engine.stop()
         await self._link_listener.close()
         await self._operators_listener.close()
--- a/dalemast/entry/__init__.py
+++ b/dalemast/entry/__init__.py
@@ -1,4 +1,4 @@
-"""The entry: takes jobs from callers and owns those whose tickets it issued."""
+"""The entry: accepts jobs from callers and owns the jobs whose tickets it issued."""
 
 from dalemast.entry.process import EntryProcess
 
--- a/dalemast/entry/accounts.py
+++ b/dalemast/entry/accounts.py
@@ -11,11 +11,11 @@
 __all__ = ["Authenticator"]
 
 PREFIX_LENGTH = 8
-"""Hex digits by which digests are grouped; whole digests are compared in constant time."""
+"""Hex digits by which digests are indexed; whole digests are compared in constant time."""
 
 
 class Authenticator:
-    """Accounts by their tokens, rebuilt when the configuration changes."""
+    """Index of accounts by token digest, rebuilt when the configuration changes."""
 
     def __init__(self, *, configuration: ConfigurationHolder) -> None:
         self._configuration = configuration
@@ -23,7 +23,7 @@
         self._groups: dict[str, list[tuple[str, Account]]] = {}
 
     def get_account(self, token: str) -> Account:
-        """Return the account of a token; raises :class:`BadToken`."""
+        """Return the account of a token; raise :class:`BadToken` if there is none."""
         if self._version != self._configuration.version:
             self._rebuild()
         digest = get_token_digest(token)
--- a/dalemast/entry/bodies.py
+++ b/dalemast/entry/bodies.py
@@ -1,4 +1,4 @@
-"""The bodies of the callers' API, and their limits."""
+"""Request and response bodies of the callers' API, and their limits."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ]
 
 MAX_DEPTH = 64
-"""Nested arrays and objects in one payload."""
+"""Maximum nesting of arrays and objects in a payload."""
 
 _STRINGS = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
@@ -34,7 +34,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A job as callers write it."""
+    """A job as submitted by a caller."""
 
     service: str
     tasks: tuple[TaskBody, ...]
@@ -44,19 +44,19 @@
 
 
 class TicketsBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A wish for tickets."""
+    """A request for tickets."""
 
     count: int = 1
 
 
 class TicketsAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Tickets, each good for one job."""
+    """Tickets, each valid for one job."""
 
     tickets: tuple[str, ...]
 
 
 class CompleteAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole answer of a job, in task order."""
+    """The result of a successful job, with one answer per task in task order."""
 
     job: str
     outcome: str
@@ -66,23 +66,23 @@
 
 
 class PendingAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What a long poll that ended early gets."""
+    """The response to a poll for a job that has no result yet."""
 
     job: str
     outcome: str = "pending"
 
 
 def read_job(body: bytes, *, account: str, limits: PlatformLimits) -> JobRequest:
-    """Read and bound a job; raises :class:`BadBody` or :class:`BodyTooLarge`."""
+    """Parse a job and check its limits; raise :class:`BadBody` or :class:`BodyTooLarge`."""
     if len(body) > limits.max_job_bytes:
         raise BodyTooLarge(
-            f"the job has {len(body)} bytes, the limit is {limits.max_job_bytes}", place="$"
+            f"the job is {len(body)} bytes long, the limit is {limits.max_job_bytes}", place="$"
         )
     job: JobBody = decode_body(body, JobBody)
     _check_tasks(job, limits)
     if not 0 < job.deadline_ms <= limits.max_deadline_ms:
         raise BadBody(
-            f"a deadline is from 1 to {limits.max_deadline_ms} ms, not {job.deadline_ms}",
+            f"the deadline must be from 1 to {limits.max_deadline_ms} ms, not {job.deadline_ms}",
             place="$.deadline_ms",
         )
     return JobRequest(
@@ -98,10 +98,10 @@
 
 def _check_tasks(job: JobBody, limits: PlatformLimits) -> None:
     if not job.tasks:
-        raise BadBody("a job has at least one task", place="$.tasks")
+        raise BadBody("a job must have at least one task", place="$.tasks")
     if len(job.tasks) > limits.max_tasks_per_job:
         raise BodyTooLarge(
-            f"a job has at most {limits.max_tasks_per_job} tasks, not {len(job.tasks)}",
+            f"a job may have at most {limits.max_tasks_per_job} tasks, not {len(job.tasks)}",
             place="$.tasks",
         )
     for number, task in enumerate(job.tasks):
@@ -109,11 +109,11 @@
         place = f"$.tasks[{number}].payload"
         if len(payload) > limits.max_payload_bytes:
             raise BodyTooLarge(
-                f"a payload has at most {limits.max_payload_bytes} bytes, not {len(payload)}",
+                f"a payload may have at most {limits.max_payload_bytes} bytes, not {len(payload)}",
                 place=place,
             )
         if _is_too_deep(payload):
-            raise BodyTooLarge(f"a payload is nested at most {MAX_DEPTH} deep", place=place)
+            raise BodyTooLarge(f"a payload may be nested at most {MAX_DEPTH} deep", place=place)
 
 
 def _is_too_deep(payload: bytes) -> bool:
--- a/dalemast/entry/callers.py
+++ b/dalemast/entry/callers.py
@@ -1,4 +1,4 @@
-"""The callers' API and, for submissions that another entry received, the peers' side of it."""
+"""HTTP handlers for callers, and for entries that forward a caller's request to its owner."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallersContext:
-    """What the handlers need of the entry. ``address`` is where other entries reach it."""
+    """Dependencies of the handlers. ``address`` is where other entries reach this one."""
 
     engine: EntryEngine
     authenticator: Authenticator
@@ -77,7 +77,7 @@
 
 
 class _SubmissionHandler(BaseHandler):
-    """Shared by callers and peers: submissions and jobs that this entry owns."""
+    """Base of the callers' and peers' handlers for submissions and jobs that this entry owns."""
 
     def initialize(self, context: CallersContext) -> None:
         self._context = context
@@ -85,7 +85,7 @@
         self._pending: asyncio.Future[JobResult] | None = None
 
     def on_connection_close(self) -> None:
-        """Wait no longer for a caller that has hung up."""
+        """Stop waiting for the result when the caller disconnects."""
         if self._pending is not None:
             self._pending.cancel()
 
@@ -137,7 +137,7 @@
         self.send_json(answer)
 
     async def _wait_here(self, entry: LedgerEntry) -> None:
-        """Answer a poll for a job that this entry owns."""
+        """Respond to a poll for a job that this entry owns."""
         number = entry.submission.job
         wait_ms = self._get_wait_ms()
         if entry.result is None and wait_ms > 0:
@@ -152,11 +152,14 @@
     def _get_wait_ms(self) -> int:
         text = self.get_query_argument("wait_ms", "0")
         if not text.isdecimal() or len(text) > 9:
-            raise BadHeader("wait_ms is a number of milliseconds", place="?wait_ms")
+            raise BadHeader(
+                "wait_ms must be a whole number of milliseconds with at most 9 digits",
+                place="?wait_ms",
+            )
         return min(int(text), MAX_WAIT_MS)
 
     def _check_ticket_life(self, ticket: Ticket) -> None:
-        """Refuse a ticket that was not used while it lived; a used one keeps its answer."""
+        """Refuse an unused ticket that has expired; a used one keeps its result."""
         ledger = self._engine.ledger
         if ledger.is_unused(ticket.number):
             ledger.check_life(
@@ -165,7 +168,7 @@
 
 
 class _CallerHandler(_SubmissionHandler):
-    """A handler on the callers' listener."""
+    """Base of the handlers on the callers' listener."""
 
     def _authenticate(self) -> Account:
         if not self._engine.configuration.is_ready:
@@ -180,11 +183,12 @@
         """Issue tickets."""
         account = self._authenticate()
         if self._engine.is_draining:
-            raise OwnerDraining("this entry is stopping", retry_after_s=0.1)
+            raise OwnerDraining("this entry is draining", retry_after_s=0.1)
         body: TicketsBody = decode_body(self.request.body or b"{}", TicketsBody)
         if not 1 <= body.count <= self._context.max_tickets:
             raise BadBody(
-                f"a request is for 1 to {self._context.max_tickets} tickets", place="$.count"
+                f"count must be from 1 to {self._context.max_tickets}, not {body.count}",
+                place="$.count",
             )
         tickets = tuple(self._make_ticket(account.name) or "" for _ in range(body.count))
         self.send_json(TicketsAnswer(tickets=tickets))
@@ -194,13 +198,13 @@
     """``POST /v1/jobs``."""
 
     async def post(self) -> None:
-        """Submit a job, here or at its owner, and answer with its whole outcome."""
+        """Submit a job, here or at its owner, and respond with its result."""
         account = self._authenticate()
         headers = self.request.headers
         ticket_text = headers.get(TICKET_HEADER, "")
         key_text = headers.get(KEY_HEADER, "")
         if ticket_text and key_text:
-            raise BadHeader("send a ticket or a key, not both", place=KEY_HEADER)
+            raise BadHeader("the job has both a ticket and a key", place=KEY_HEADER)
         if not ticket_text and not key_text:
             raise NoSubmissionKey("the job has neither a ticket nor a key")
         try:
@@ -222,13 +226,16 @@
 
     async def _submit_claim(self, account: Account, text: str) -> None:
         if len(text) > MAX_KEY_LENGTH or not text.isascii() or not text.isprintable():
-            raise BadHeader("the key is too long or not printable ASCII", place=KEY_HEADER)
+            raise BadHeader(
+                f"the key is longer than {MAX_KEY_LENGTH} characters or not printable ASCII",
+                place=KEY_HEADER,
+            )
         key = ClaimKey(account=account.name, key=text)
         if self._engine.ledger.is_claim_known(key):
             result = await self._submit_here(key, account)
             self._send_result(result, self._make_ticket(account.name))
             return
-        # What cannot become a job must not cost a write.
+        # Validate the job first, so that an invalid one causes no write to the table.
         read_job(self.request.body, account=account.name, limits=self._engine.configuration.limits)
         claim = await self._context.claims.claim(key)
         if claim.owner != self._engine.incarnation:
@@ -262,7 +269,7 @@
     """``GET`` and ``DELETE /v1/jobs/JOB``."""
 
     async def get(self, text: str) -> None:
-        """Wait for a job's answer."""
+        """Return a job's result, waiting up to ``wait_ms`` for it."""
         account = self._authenticate()
         name = self._context.signer.read_job(text, account=account.name)
         if name.incarnation != self._engine.incarnation:
@@ -295,18 +302,18 @@
 
 
 class _PeerHandler(_SubmissionHandler):
-    """A handler that only other entries may call. It never forwards, so nothing goes in circles."""
+    """Base of the handlers for other entries. They never forward, which rules out loops."""
 
     def prepare(self) -> None:
         proof = self.request.headers.get(SYSTEM_HEADER, "")
         if not self._context.proof.is_valid(proof):
-            raise BadToken("only processes of the system may call this")
+            raise BadToken("the path is reserved for processes that hold the system key")
 
     def _get_account(self) -> Account:
         """Return the account that the first entry authenticated."""
         incarnation = self.request.headers.get(INCARNATION_HEADER, "")
         if incarnation != self._engine.incarnation:
-            raise OwnerLost("another process has taken the owner's address")
+            raise OwnerLost("another process now uses the owner's address")
         name = self.request.headers.get(ACCOUNT_HEADER, "")
         account = self._engine.configuration.accounts.get(name)
         return Account(name=name) if account is None else account
@@ -316,7 +323,7 @@
     """``POST /v1/peer/jobs``: a submission that another entry received for this owner."""
 
     async def post(self) -> None:
-        """Start or join it."""
+        """Start or join the submission."""
         account = self._get_account()
         self._context.metrics.count("forwards.received")
         headers = self.request.headers
@@ -336,7 +343,7 @@
     """``GET`` and ``DELETE /v1/peer/jobs/JOB``."""
 
     async def get(self, text: str) -> None:
-        """Wait for a job's answer."""
+        """Return a job's result, waiting up to ``wait_ms`` for it."""
         account = self._get_account()
         name = self._context.signer.read_job(text, account=account.name)
         await self._wait_here(_find_job(self._engine, name, account.name))
@@ -362,7 +369,7 @@
 
 
 def _cancel_job(engine: EntryEngine, name: JobName, account: str) -> JobResult:
-    """Cancel a job, or a ticket that was not used yet: then nothing will ever run under it."""
+    """Cancel a job, or invalidate an unused ticket so that no job can start with it."""
     if name.is_ticket and engine.ledger.is_unused(name.number):
         engine.ledger.refuse(TicketKey(number=name.number))
         raise JobCancelled("the ticket was cancelled before it was used")
@@ -373,18 +380,18 @@
     if name.is_ticket:
         known = engine.ledger.find(TicketKey(number=name.number))
         if known is None:
-            raise ForeignSubmission("nothing was submitted under this ticket")
+            raise ForeignSubmission("no job was submitted with this ticket")
         return known
     entry = engine.ledger.find_job(name.number, account=account)
     if entry is not None:
         return entry
     if engine.ledger.was_job_of(name.number, account=account):
-        raise AnswerForgotten("the job ended and its answer is no longer kept")
+        raise AnswerForgotten("the job has ended and its result is no longer stored")
     raise ForeignSubmission("no such job")
 
 
 def _relay(handler: BaseHandler, response: JsonResponse, next_ticket: str | None) -> None:
-    """Pass a peer's response on, with a ticket of the entry that the caller is connected to."""
+    """Send a peer's response to the caller, with a new ticket issued by this entry."""
     body: object = response.body
     if response.status == 200:
         answer = response.decode(CompleteAnswer)
@@ -398,7 +405,7 @@
 
 
 def get_caller_routes(context: CallersContext) -> list[Route]:
-    """Return the routes of the callers' listener."""
+    """Return the routes for the callers' listener."""
     arguments = {"context": context}
     return [
         ("/v1/tickets", TicketsHandler, arguments),
--- a/dalemast/entry/claims.py
+++ b/dalemast/entry/claims.py
@@ -1,9 +1,8 @@
-"""Claims: bind a caller's own key to one owner by a conditional insert in the platform's table.
+"""Bind a caller's idempotency key to one owner by a conditional insert in the platform's table.
 
-Claims that arrive while a write is under way share the next one. When the answer to a write is
-lost, the row is read back: it names the writer. This is the resolution that log-based recovery
-gives a transaction whose commit answer was lost, by asking for the outcome and never writing
-blindly again (see docs/decisions/0002-submissions.md).
+Claims that arrive during a write are batched into the next one. If the response to a write is
+lost, the row is read back instead of written again: its value names the owner
+(docs/decisions/0002-submissions.md).
 """
 
 from __future__ import annotations
@@ -23,12 +22,13 @@
 __all__ = ["ClaimBatcher", "ClaimOutcome"]
 
 MAX_BATCH = 200
+"""Keys per write."""
 TABLE_WRITES_PER_S = 300.0
-"""Writes a second that all entries together spend on claims."""
+"""Limit of claim writes per second for all entries together."""
 
 
 class _ClaimRow(msgspec.Struct, frozen=True, kw_only=True):
-    """The value of a claim's row."""
+    """Value of a claim's row: the incarnation that owns the key, and its address."""
 
     owner: str
     address: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimOutcome:
-    """Who owns a key."""
+    """The owner of a key: an entry's incarnation and its operators' address."""
 
     owner: str
     address: str
 
 
 class ClaimBatcher:
-    """Claims keys for one entry incarnation, many to a write."""
+    """Claims keys for one entry incarnation, batching concurrent claims into one write."""
 
     def __init__(
         self,
@@ -65,7 +65,10 @@
         self._writer: asyncio.Task[None] | None = None
 
     async def claim(self, key: ClaimKey) -> ClaimOutcome:
-        """Claim a key or learn who has it; raises :class:`KeyUnproved`."""
+        """Claim a key and return its owner, which may be another entry.
+
+        Raise :class:`KeyUnproved` if the owner could not be determined.
+        """
         row_key = _get_row_key(key)
         future = self._waiting.get(row_key)
         if future is None:
@@ -77,16 +80,16 @@
 
     async def _write_all(self) -> None:
         while self._waiting:
-            await self._keep_pace()
+            await self._wait_for_write_slot()
             batch = dict(list(self._waiting.items())[:MAX_BATCH])
             for row_key in batch:
                 del self._waiting[row_key]
             await self._write(batch)
 
-    async def _keep_pace(self) -> None:
-        """Leave the other entries their part of the writes that the table takes.
+    async def _wait_for_write_slot(self) -> None:
+        """Limit this entry to its share of the table's write rate.
 
-        What arrives meanwhile shares the write, so more entries mean a longer wait, not more load.
+        Claims that arrive during the wait join the batch, so more entries add latency, not load.
         """
         now = clock.monotonic()
         if now < self._next_write_at:
@@ -127,7 +130,9 @@
     if future.done():
         return
     if row is None:
-        future.set_exception(_make_unproved("the answer to the claim was lost"))
+        future.set_exception(
+            _make_unproved("the response to the claim was lost and the row could not be read back")
+        )
         return
     claim = msgspec.json.decode(row.value, type=_ClaimRow)
     future.set_result(ClaimOutcome(owner=claim.owner, address=claim.address))
--- a/dalemast/entry/configuration.py
+++ b/dalemast/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration between the platform's table, this entry and its peers."""
+"""Store the configuration in the platform's table and keep this entry up to date."""
 
 from __future__ import annotations
 
@@ -33,12 +33,13 @@
 __all__ = ["ConfigurationPoller", "ConfigurationStore"]
 
 INDEX_KEY = "configuration/index"
-CHANGES_REMEMBERED = 64
-LOST_ANSWER_TRIES = 5
+MAX_CHANGES = 64
+"""Changes listed in the index row, by which a writer recognizes its own write."""
+MAX_WRITE_ATTEMPTS = 5
 
 
 class _Index(msgspec.Struct, frozen=True, kw_only=True):
-    """The row that names the version in force and the changes that led to it."""
+    """Index row: the accepted version and the identifiers of the latest changes."""
 
     version: int = 0
     changes: tuple[tuple[int, str], ...] = ()
@@ -55,12 +56,12 @@
         self._table = table
 
     async def get_version(self) -> int:
-        """Return the accepted version: one small read."""
+        """Return the accepted version by reading the index row only."""
         (row,) = await self._table.get_rows((INDEX_KEY,))
         return _read_index(row).version
 
     async def read(self) -> Configuration:
-        """Read the whole configuration as of one version."""
+        """Read the whole configuration in one consistent read."""
         keys = (INDEX_KEY, *(_get_kind_key(kind) for kind in KINDS))
         index, *rows = await self._table.get_rows(keys)
         items = {
@@ -73,8 +74,8 @@
     async def replace(self, *, expected_version: int, kinds: dict[str, object]) -> Configuration:
         """Replace whole kinds if the version is still the expected one; return the result.
 
-        Raises :class:`VersionConflict` when another change was accepted first, and
-        :class:`ConfigurationInvalid` when the result would not be valid.
+        Raise :class:`VersionConflict` if another change was accepted first, and
+        :class:`ConfigurationInvalid` if the result would not be valid.
         """
         current = await self.read()
         if current.version != expected_version:
@@ -91,24 +92,27 @@
             raise UnknownKind(f"there is no kind {kind!r}")
         current = await self.read()
         items = getattr(current, kind)
-        left = [msgspec.to_builtins(item) for item in items if item.name != name]
-        if len(left) == len(items):
+        remaining = [msgspec.to_builtins(item) for item in items if item.name != name]
+        if len(remaining) == len(items):
             raise UnknownName(f"no {kind} item is named {name!r}")
-        return await self.replace(expected_version=current.version, kinds={kind: left})
+        return await self.replace(expected_version=current.version, kinds={kind: remaining})
 
     async def _write(self, wanted: Configuration, kinds: tuple[str, ...]) -> None:
-        """Write a version in one transaction, and find out when the answer is lost."""
+        """Write a version in one transaction.
+
+        If the response is lost, read the index to find out whether the change was accepted.
+        """
         change = secrets.token_hex(8)
         (row,) = await self._table.get_rows((INDEX_KEY,))
         index = _read_index(row)
         if index.version != wanted.version - 1:
             raise _make_conflict(wanted.version - 1, index.version)
-        changes = (*index.changes, (wanted.version, change))[-CHANGES_REMEMBERED:]
+        changes = (*index.changes, (wanted.version, change))[-MAX_CHANGES:]
         new_index = _Index(version=wanted.version, changes=changes)
         condition = Condition(key=INDEX_KEY, version=0 if row is None else row.version)
         documents = [_make_put(_get_kind_key(kind), getattr(wanted, kind)) for kind in kinds]
         puts = (_make_put(INDEX_KEY, new_index), *documents)
-        for _ in range(LOST_ANSWER_TRIES):
+        for _ in range(MAX_WRITE_ATTEMPTS):
             try:
                 await self._table.transact(conditions=(condition,), puts=puts)
                 return
@@ -117,7 +121,10 @@
                     return
                 if isinstance(error, ConditionFailed):
                     raise _make_conflict(wanted.version - 1, wanted.version) from error
-        raise PlatformAnswerLost("the table does not say whether the change was accepted")
+        raise PlatformAnswerLost(
+            f"no response from the table in {MAX_WRITE_ATTEMPTS} attempts; "
+            "the change may or may not have been accepted"
+        )
 
     async def _is_accepted(self, version: int, change: str) -> bool:
         (row,) = await self._table.get_rows((INDEX_KEY,))
@@ -137,7 +144,10 @@
 
 
 class ConfigurationPoller:
-    """Keeps this entry at the accepted version; a fresh one asks peers when the table is down."""
+    """Polls the table for the accepted configuration.
+
+    An entry that has no configuration yet requests it from its peers if the table is down.
+    """
 
     def __init__(
         self,
@@ -165,7 +175,7 @@
             await asyncio.sleep(self._interval_s)
 
     async def poll(self) -> None:
-        """Read the version and, when it is higher, the documents."""
+        """Read the accepted version and, if it is newer, the documents."""
         try:
             version = await self._store.get_version()
             if version > self._engine.configuration.version:
@@ -174,15 +184,15 @@
             self._engine.metrics.count("configuration.poll_failed")
             if not self._engine.configuration.is_ready:
                 log_error("entry:table-unavailable", reason=str(error))
-                await self._ask_peers()
+                await self._fetch_from_peers()
 
-    async def _ask_peers(self) -> None:
-        answers = await asyncio.gather(*(self._ask(peer) for peer in self._get_peers()))
-        known = [answer for answer in answers if answer is not None]
-        if known:
-            self._offer(max(known, key=lambda answer: answer.version), source="peer")
+    async def _fetch_from_peers(self) -> None:
+        answers = await asyncio.gather(*(self._fetch(peer) for peer in self._get_peers()))
+        received = [answer for answer in answers if answer is not None]
+        if received:
+            self._offer(max(received, key=lambda answer: answer.version), source="peer")
 
-    async def _ask(self, peer: str) -> Configuration | None:
+    async def _fetch(self, peer: str) -> Configuration | None:
         try:
             response = await self._client.request(
                 "GET",
--- a/dalemast/entry/engine.py
+++ b/dalemast/entry/engine.py
@@ -1,4 +1,4 @@
-"""Drive the owner: its clock, its links, and the callers that wait for its jobs."""
+"""Run the owner core: drive its clock, its links and the callers that wait for its jobs."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 __all__ = ["EntryEngine"]
 
 BUSY_TICK_S = 0.02
+"""Interval of the timer while jobs are open."""
 IDLE_TICK_S = 0.5
 
 Sender = Callable[[bytes], None]
@@ -40,9 +41,9 @@
 
 
 class EntryEngine:
-    """The owner core and the ledger with a clock, links and waiting callers.
+    """Connects the owner core and the submission ledger to the clock, links and callers.
 
-    All methods run in the entry's one event loop.
+    All methods must be called from the entry's event loop.
     """
 
     def __init__(
@@ -78,12 +79,12 @@
 
     @property
     def incarnation(self) -> str:
-        """The random name of this start of the entry."""
+        """The random identifier of this run of the entry process."""
         return self._owner.incarnation
 
     @property
     def owner(self) -> Owner:
-        """The owner core, for dumps."""
+        """The owner core, for state dumps."""
         return self._owner
 
     @property
@@ -93,30 +94,30 @@
 
     @property
     def open_jobs(self) -> int:
-        """How many jobs have no result yet."""
+        """The number of jobs without a result."""
         return self._owner.open_jobs
 
     def start(self) -> None:
-        """Begin to watch the time."""
+        """Start the timer."""
         self._ticker = asyncio.create_task(self._tick())
 
     async def stop(self) -> None:
-        """Stop watching the time."""
+        """Stop the timer."""
         if self._ticker is not None:
             self._ticker.cancel()
 
     def start_draining(self) -> None:
-        """Take no new job from now on."""
+        """Refuse new jobs from now on."""
         self._desk.start_draining()
 
     # Configuration
 
     def on_configuration(self, callback: Callable[[], None]) -> None:
-        """Call back after each new configuration."""
+        """Register a callback that is called after each new configuration."""
         self._on_configuration.append(callback)
 
     def offer_configuration(self, configuration: Configuration) -> bool:
-        """Put a newer configuration in force; tell whether it was newer."""
+        """Apply a configuration if it is newer than the current one; return whether it was."""
         if not self.configuration.offer(configuration):
             return False
         self._owner.apply_configuration()
@@ -126,16 +127,16 @@
         return True
 
     def set_membership(self, *, entries: int, leaving_workers: set[str]) -> None:
-        """Take what the host list says."""
+        """Apply the number of entries and the leaving workers from the host list."""
         self._owner.set_entry_count(entries)
         self._owner.set_leaving_hosts(leaving_workers)
 
     # Submissions
 
     async def submit(self, *, key: SubmissionKey, digest: bytes, request: JobRequest) -> JobResult:
-        """Start a submission or join the one that was started, and wait for its result.
+        """Start a submission, or join it if it was started already, and wait for its result.
 
-        Raises the refusal; a refused key stays refused.
+        Raise the error of a refused submission; a refused key stays refused.
         """
         try:
             entry = self._desk.take(now=clock.monotonic(), key=key, digest=digest, request=request)
@@ -147,7 +148,10 @@
         return await self.wait(entry)
 
     async def wait(self, entry: LedgerEntry) -> JobResult:
-        """Wait for the result of a submission; a caller that is cancelled leaves quietly."""
+        """Wait for the result of a submission.
+
+        Cancelling the wait does not cancel the job, which other callers may be waiting for.
+        """
         if entry.result is not None:
             return entry.result
         job = entry.submission.job
@@ -160,7 +164,7 @@
             if waiting is not None:
                 waiting.discard(future)
                 if not waiting:
-                    self._note_abandoned(job)
+                    self._schedule_abandonment(job)
 
     async def wait_for(self, entry: LedgerEntry, *, timeout_s: float) -> JobResult | None:
         """Wait for a result for at most ``timeout_s`` seconds."""
@@ -170,7 +174,7 @@
             return None
 
     def cancel(self, entry: LedgerEntry) -> JobResult:
-        """Cancel a job and return its result, which may be older than the wish to cancel."""
+        """Cancel a job and return its result; a job that has ended keeps the result it has."""
         if entry.result is None:
             error = JobCancelled("the account cancelled the job")
             self._owner.cancel(job=entry.submission.job, error=error)
@@ -178,43 +182,43 @@
         assert entry.result is not None
         return entry.result
 
-    def _note_abandoned(self, job: int) -> None:
+    def _schedule_abandonment(self, job: int) -> None:
         loop = asyncio.get_running_loop()
         loop.call_later(self._caller_grace_s, self._drop_abandoned, job)
 
     def _drop_abandoned(self, job: int) -> None:
-        """Give up a job that nobody waits for, unless all of it runs already."""
+        """Cancel a job that no caller waits for, unless all of its tasks have been started."""
         if self._waiters.get(job) or not self._owner.is_waiting(job):
             return
-        self._owner.cancel(job=job, error=CallerGone("every caller hung up"))
+        self._owner.cancel(job=job, error=CallerGone("all callers disconnected"))
         self.metrics.count("jobs.abandoned")
         self._schedule()
 
     # Links
 
     def make_hello(self, worker: str) -> EntryHello | None:
-        """Return the first message for a new connection."""
+        """Return the first message for a new connection, or None if it should be closed."""
         return self._owner.make_hello(worker)
 
     def open_link(self, worker: str, hello: AgentHello, sender: Sender) -> None:
-        """Take a greeted link into use."""
+        """Register a link whose hello messages have been exchanged."""
         self._senders[worker] = sender
         self._owner.open_link(now=clock.monotonic(), worker=worker, hello=hello)
         self._schedule()
 
     def close_link(self, worker: str) -> None:
-        """Note that a link ended."""
+        """Unregister a closed link."""
         self._senders.pop(worker, None)
         self._owner.close_link(worker=worker)
 
     def lose_worker(self, worker: str) -> None:
-        """Give up a worker that cannot be reached."""
+        """Treat an unreachable worker's tasks as lost."""
         self.metrics.count("workers.lost")
         self._owner.lose_worker(worker=worker)
         self._schedule()
 
     def receive(self, worker: str, data: bytes | str) -> None:
-        """Take a message of an agent."""
+        """Handle a message from an agent."""
         frame = _decode_frame(data)
         kind = "answers" if frame.answers else "other"
         self.metrics.count(f"frames.received.{kind}")
@@ -226,7 +230,7 @@
         self._owner.receive(now=clock.monotonic(), worker=worker, frame=frame)
         self._schedule()
 
-    # The loop
+    # Event loop
 
     def _schedule(self) -> None:
         if not self._is_collecting:
--- a/dalemast/entry/exceptions.py
+++ b/dalemast/entry/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of an entry as a process."""
+"""Errors of the entry process."""
 
 from dalemast.core.exceptions import DalemastError
 
--- a/dalemast/entry/forwarding.py
+++ b/dalemast/entry/forwarding.py
@@ -1,4 +1,4 @@
-"""Pass a submission on to the entry that owns it."""
+"""Forward a request to the entry that owns the submission."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 ACCOUNT_HEADER = "X-Dalemast-Account"
 INCARNATION_HEADER = "X-Dalemast-Incarnation"
 
-LONGEST_WAIT_S = 150.0
-"""Above the longest deadline: the owner itself ends every job in time."""
+FORWARD_TIMEOUT_S = 150.0
+"""Longer than the longest job deadline, so that the owner's result arrives first."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForwardedRequest:
-    """A request for another owner. ``headers`` are those that name the submission."""
+    """A request to another entry. ``headers`` hold the ticket or key of the submission."""
 
     method: str
     path: str
@@ -52,9 +52,9 @@
         self._metrics = metrics
 
     async def forward(self, request: ForwardedRequest) -> JsonResponse:
-        """Return the owner's response; raises :class:`OwnerLost` when there is none.
+        """Return the owner's response; raise :class:`OwnerLost` if there is none.
 
-        The owner may be gone, or alive and cut off: either way nothing is proved.
+        An unreachable owner may still be running the job, so its outcome is unknown.
         """
         self._metrics.count("forwards.sent")
         headers = {
@@ -69,8 +69,10 @@
                 f"{self._scheme}://{request.address}{request.path}",
                 body=request.body,
                 headers=headers,
-                timeout_s=LONGEST_WAIT_S,
+                timeout_s=FORWARD_TIMEOUT_S,
             )
         except HttpFailure as failure:
             self._metrics.count("forwards.failed")
-            raise OwnerLost(f"the owner does not answer: {failure.message}") from failure
+            raise OwnerLost(
+                f"no response from the owner at {request.address}: {failure.message}"
+            ) from failure
--- a/dalemast/entry/links.py
+++ b/dalemast/entry/links.py
@@ -1,4 +1,4 @@
-"""The entry's links: one task for each worker keeps a connection to its agent."""
+"""The entry's links: one asyncio task per worker maintains a connection to its agent."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
 
 CONNECT_TIMEOUT_S = 2.0
 FIRST_RETRY_S = 0.1
-LONGEST_RETRY_S = 2.0
+MAX_RETRY_S = 2.0
 PING_INTERVAL_S = 30.0
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 
 
 class LinkSupervisor:
-    """Keeps a link task for each worker that belongs to this entry's view."""
+    """Maintains a link to each worker in this entry's view."""
 
     def __init__(
         self,
@@ -41,8 +41,8 @@
         proof: SystemProof,
         max_links_per_worker: int,
         lost_after_s: float,
-        near_delay_s: float,
-        far_delay_s: float,
+        same_data_centre_delay_s: float,
+        other_data_centre_delay_s: float,
     ) -> None:
         self._engine = engine
         self._name = name
@@ -50,20 +50,20 @@
         self._proof = proof
         self._max_links_per_worker = max_links_per_worker
         self._lost_after_s = lost_after_s
-        self._near_delay_s = near_delay_s
-        self._far_delay_s = far_delay_s
+        self._same_data_centre_delay_s = same_data_centre_delay_s
+        self._other_data_centre_delay_s = other_data_centre_delay_s
         self._entries: frozenset[str] = frozenset({name})
         self._tasks: dict[str, tuple[str, asyncio.Task[None]]] = {}
         engine.on_configuration(self.update)
 
     def set_entries(self, entries: frozenset[str]) -> None:
-        """Take the names of the live entries."""
+        """Set the names of the live entries, which determine the view of each of them."""
         if entries != self._entries:
             self._entries = entries
             self.update()
 
     def update(self) -> None:
-        """Start and end link tasks as the configuration and the view ask."""
+        """Start and stop link tasks to match the configuration and the view."""
         if not self._engine.configuration.is_ready:
             return
         wanted = {
@@ -78,11 +78,11 @@
                 del self._tasks[name]
         for name, endpoint in wanted.items():
             if name not in self._tasks:
-                task = asyncio.create_task(self._keep(endpoint))
+                task = asyncio.create_task(self._maintain(endpoint))
                 self._tasks[name] = (endpoint.agent, task)
 
     async def stop(self) -> None:
-        """End every link."""
+        """Close every link."""
         for _, task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*(task for _, task in self._tasks.values()), return_exceptions=True)
@@ -95,8 +95,8 @@
             limit=self._max_links_per_worker,
         )
 
-    async def _keep(self, endpoint: Endpoint) -> None:
-        """Connect, serve, and connect again; give the worker up when that fails for long."""
+    async def _maintain(self, endpoint: Endpoint) -> None:
+        """Connect and reconnect; report the worker as lost after ``lost_after_s`` of failures."""
         retry_s = FIRST_RETRY_S
         failing_since: float | None = None
         while True:
@@ -112,7 +112,7 @@
             if now - failing_since >= self._lost_after_s:
                 self._engine.lose_worker(endpoint.name)
             await asyncio.sleep(retry_s * (0.5 + random.random()))
-            retry_s = min(retry_s * 2, LONGEST_RETRY_S)
+            retry_s = min(retry_s * 2, MAX_RETRY_S)
 
     async def _connect(self, endpoint: Endpoint) -> WebSocketClientConnection | None:
         request = HTTPRequest(
@@ -136,7 +136,7 @@
         return None
 
     async def _serve(self, endpoint: Endpoint, connection: WebSocketClientConnection) -> bool:
-        """Greet the agent and pass its frames on; tell whether it answered the hello."""
+        """Exchange hellos and handle the agent's frames; return whether it answered the hello."""
         writer = self._make_writer(endpoint, connection)
         try:
             hello = self._engine.make_hello(endpoint.name)
@@ -167,6 +167,10 @@
             with contextlib.suppress(WebSocketClosedError):
                 await connection.write_message(data, binary=False)
 
-        is_near = endpoint.data_centre == self._data_centre
-        delay_s = self._near_delay_s if is_near else self._far_delay_s
+        is_same_data_centre = endpoint.data_centre == self._data_centre
+        delay_s = (
+            self._same_data_centre_delay_s
+            if is_same_data_centre
+            else self._other_data_centre_delay_s
+        )
         return LinkWriter(write=write, close=connection.close, delay_s=delay_s)
--- a/dalemast/entry/membership.py
+++ b/dalemast/entry/membership.py
@@ -1,4 +1,4 @@
-"""What the host list says, and what this entry makes of it."""
+"""Apply the platform's host list to this entry."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Membership:
-    """Polls the host list: live entries, and hosts that are leaving.
+    """Polls the host list for live entries and for workers that are leaving.
 
-    The list lags, so it only ever takes work away from a host or divides limits. That a process is
-    there is learned from its link, that it is gone from its silence and its incarnation.
+    The list lags behind, so it is used only to withhold work from a leaving worker and to divide
+    limits among entries. Links show whether a process is alive.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
             await asyncio.sleep(self._interval_s)
 
     async def poll(self) -> None:
-        """Read the list once; while it cannot be read the last one stands."""
+        """Read the list once; if that fails, the previous list stays in effect."""
         try:
             hosts = await self._hosts.get_hosts()
         except PlatformError:
--- a/dalemast/entry/operators.py
+++ b/dalemast/entry/operators.py
@@ -1,4 +1,4 @@
-"""The operators' API of an entry, and the peers' look at its configuration."""
+"""The operators' API of an entry, and the configuration and status paths for its peers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class WorkerState(msgspec.Struct, frozen=True, kw_only=True):
-    """One worker as this entry sees it."""
+    """A worker's state as known to this entry."""
 
     endpoint: str
     worker: str
@@ -50,7 +50,7 @@
 
 
 class EntryState(msgspec.Struct, frozen=True, kw_only=True):
-    """The dump of an entry."""
+    """State dump of an entry."""
 
     role: str
     name: str
@@ -70,7 +70,7 @@
 
 
 class EntryStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """The short form that peers exchange for :class:`PlatformStatus`."""
+    """An entry's part of :class:`PlatformStatus`, as peers exchange it."""
 
     name: str
     address: str
@@ -82,7 +82,7 @@
 
 
 class PlatformStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """All entries as one of them could reach them."""
+    """Status of all entries, collected by one of them; ``unreachable`` are peers' addresses."""
 
     accepted_version: int | None
     entries: tuple[EntryStatus, ...]
@@ -90,7 +90,7 @@
 
 
 class ChangeBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Whole kinds to replace, if the configuration is at ``version``."""
+    """Kinds to replace as a whole if the accepted configuration is at ``version``."""
 
     version: int
     kinds: dict[str, list[Any]]
@@ -98,7 +98,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OperatorsContext:
-    """The entry as its operators' handlers see it."""
+    """Dependencies of the operators' handlers."""
 
     callers: CallersContext
     engine: EntryEngine
@@ -116,13 +116,13 @@
         return self.engine.metrics
 
     def get_status(self) -> str:
-        """Return whether jobs are taken. The balancer asks this."""
+        """Return "ready" or the reason why jobs are not accepted, for the balancer."""
         if self.engine.is_draining:
             return "draining"
         return "ready" if self.engine.configuration.is_ready else "unconfigured"
 
     def get_state(self) -> EntryState:
-        """Return the dump."""
+        """Return the state dump."""
         return get_state(self)
 
 
@@ -131,10 +131,10 @@
 
 
 class DrainHandler(_EntryHandler):
-    """``POST /v1/drain``: take no new job; what runs goes on."""
+    """``POST /v1/drain``: refuse new jobs; open jobs continue."""
 
     def post(self) -> None:
-        """Begin to drain."""
+        """Start draining."""
         self._process.engine.start_draining()
         self.send_json(self._process.get_state())
 
@@ -147,13 +147,13 @@
         self.send_json(await self._process.store.read())
 
     async def put(self) -> None:
-        """Accept a change by compare-and-set, and put it in force here at once."""
+        """Accept a change by compare-and-set and apply it to this entry at once."""
         body: ChangeBody = decode_body(self.request.body, ChangeBody)
         for kind in body.kinds:
             if kind not in KINDS:
                 raise UnknownKind(f"there is no kind {kind!r}", place=f"$.kinds.{kind}")
         if not body.kinds:
-            raise BadBody("a change names at least one kind", place="$.kinds")
+            raise BadBody("a change must contain at least one kind", place="$.kinds")
         accepted = await self._process.store.replace(
             expected_version=body.version, kinds=dict(body.kinds)
         )
@@ -189,17 +189,17 @@
     """``GET /v1/status``: every entry and the version it has in force."""
 
     async def get(self) -> None:
-        """Ask all peers."""
+        """Collect the status of all peers."""
         peers = sorted(self._process.membership.get_peers())
-        answers = await asyncio.gather(*(self._ask(peer) for peer in peers))
+        answers = await asyncio.gather(*(self._fetch_status(peer) for peer in peers))
         reached = [get_short_status(self._process)]
         reached += [answer for answer in answers if answer is not None]
-        lost = [peer for peer, answer in zip(peers, answers, strict=True) if answer is None]
+        unreachable = [peer for peer, answer in zip(peers, answers, strict=True) if answer is None]
         self.send_json(
             PlatformStatus(
                 accepted_version=await self._get_accepted(),
                 entries=tuple(reached),
-                unreachable=tuple(lost),
+                unreachable=tuple(unreachable),
             )
         )
 
@@ -211,7 +211,7 @@
                 raise
             return None
 
-    async def _ask(self, peer: str) -> EntryStatus | None:
+    async def _fetch_status(self, peer: str) -> EntryStatus | None:
         try:
             response = await self._process.client.request(
                 "GET",
@@ -231,14 +231,14 @@
     def prepare(self) -> None:
         proof = self.request.headers.get(SYSTEM_HEADER, "")
         if not self._context.proof.is_valid(proof):
-            raise BadToken("only processes of the system may call this")
+            raise BadToken("the path is reserved for processes that hold the system key")
 
 
 class PeerConfigurationHandler(_PeerHandler):
-    """``GET /v1/peer/configuration``: for a fresh entry while the table is down."""
+    """``GET /v1/peer/configuration``: for an entry that starts while the table is down."""
 
     def get(self) -> None:
-        """Give the configuration in force here."""
+        """Send the configuration in force at this entry."""
         configuration: Configuration = self._context.engine.configuration.current
         self.send_json(configuration)
 
@@ -247,12 +247,12 @@
     """``GET /v1/peer/status``."""
 
     def get(self) -> None:
-        """Give the short status."""
+        """Send this entry's status."""
         self.send_json(get_short_status(self._context))
 
 
 def get_short_status(context: OperatorsContext) -> EntryStatus:
-    """Return the short status of an entry."""
+    """Return an entry's status as peers exchange it."""
     engine = context.engine
     return EntryStatus(
         name=context.settings.name,
@@ -266,7 +266,7 @@
 
 
 def get_state(context: OperatorsContext) -> EntryState:
-    """Return the dump of an entry."""
+    """Return the state dump of an entry."""
     engine = context.engine
     owner = engine.owner
     return EntryState(
@@ -318,7 +318,7 @@
 
 
 def get_operators_routes(context: OperatorsContext) -> list[Route]:
-    """Return the routes of the operators' listener, those of the peers included."""
+    """Return the routes for the operators' listener, including those for peers."""
     arguments = {"context": context}
     kind = r"/v1/configuration/([a-z]+)(?:/([A-Za-z0-9._-]{1,63}))?"
     return [
--- a/dalemast/entry/process.py
+++ b/dalemast/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry as a process."""
+"""The entry process: wires the engine, links and listeners together."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 __all__ = ["EntryProcess"]
 
 DRAIN_POLL_S = 0.05
-LAST_ANSWERS_S = 0.2
-"""Time for answers that are written already to leave the process."""
+FLUSH_S = 0.2
+"""Seconds after draining for responses in the socket buffers to be sent."""
 
 
 class EntryProcess(BaseProcess):
-    """One entry: the engine, its links, and the listeners of callers and operators."""
+    """An entry: the engine, its links, and the listeners for callers and operators."""
 
     def __init__(
         self,
@@ -64,10 +64,11 @@
             proof=self._proof,
             max_links_per_worker=settings.max_links_per_worker,
             lost_after_s=settings.worker_lost_after_s,
-            near_delay_s=settings.emulation.near_ms / 1000.0,
-            far_delay_s=settings.emulation.far_ms / 1000.0,
+            same_data_centre_delay_s=settings.emulation.near_ms / 1000.0,
+            other_data_centre_delay_s=settings.emulation.far_ms / 1000.0,
         )
-        # The routes need the operators' address, which a port of 0 leaves open until it is bound.
+        # The routes need the operators' address. With port 0 it is known only once bound, so they
+        # are added later.
         self._operators_listener = Listener(settings=settings.operators, routes=[])
         self._membership = Membership(
             hosts=platform.hosts,
@@ -100,17 +101,17 @@
 
     @property
     def engine(self) -> EntryEngine:
-        """The engine, for dumps and tests."""
+        """The engine, for state dumps and tests."""
         return self._engine
 
     @property
     def callers_address(self) -> str:
-        """Where callers connect."""
+        """The address at which callers connect."""
         return self._callers_listener.address
 
     @property
     def operators_address(self) -> str:
-        """Where operators and peers connect."""
+        """The address at which operators and peers connect."""
         return self._operators_listener.address
 
     async def start(self) -> None:
@@ -125,21 +126,21 @@
         log_event("entry:started", name=self._settings.name)
 
     async def drain(self) -> None:
-        """Take no new job and answer every job that is open."""
+        """Refuse new jobs and wait, within the drain limit, until every open job has a result."""
         self._engine.start_draining()
         log_event("entry:draining", name=self._settings.name)
         give_up_at = clock.monotonic() + self._settings.drain_limit_s
         while self._engine.open_jobs and clock.monotonic() < give_up_at:
             await asyncio.sleep(DRAIN_POLL_S)
-        await asyncio.sleep(LAST_ANSWERS_S)
+        await asyncio.sleep(FLUSH_S)
 
     def get_unfinished(self) -> list[str]:
-        """Return the jobs that have no answer."""
+        """Describe the jobs that have no result yet."""
         count = self._engine.open_jobs
         return [f"{count} jobs without an answer"] if count else []
 
     async def close(self) -> None:
-        """Close every socket and end every task."""
+        """Close all sockets and cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await self._links.stop()
--- a/tests/agent/test_endpoints.py
+++ b/tests/agent/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Calls of endpoints: once, whatever the endpoint does to the connection."""
+"""Each task is sent to its endpoint once, whatever happens to the connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RawEndpoint:
-    """A TCP server that counts whole requests and answers each as a function says."""
+    """A TCP server that counts complete requests and responds to each with a given function."""
 
     def __init__(self, answer: Handler) -> None:
         self._answer = answer
@@ -47,15 +47,15 @@
     return b"HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s" % (status.encode(), len(body), body)
 
 
-async def answer_well(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def respond_well(body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(make_response("200 OK", b"[1]"))
 
 
-async def answer_badly(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def respond_with_status_500(body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(make_response("500 Broken", b"oh"))
 
 
-async def answer_no_json(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def respond_without_json(body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(make_response("200 OK", b"<html>"))
 
 
@@ -63,35 +63,35 @@
     writer.write(b"HTTP/1.1 307 Away\r\nLocation: /\r\nContent-Length: 0\r\n\r\n")
 
 
-async def hang_up(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def close_without_response(body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-async def break_off(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def close_mid_response(body: bytes, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n[1")
     await writer.drain()
     writer.close()
 
 
-async def say_nothing(body: bytes, writer: asyncio.StreamWriter) -> None:
+async def never_respond(body: bytes, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(30)
 
 
 CASES: list[tuple[str, Handler, OutcomeKind]] = [
-    ("a good answer", answer_well, OutcomeKind.ANSWERED),
-    ("status 500", answer_badly, OutcomeKind.FAILED),
-    ("no JSON", answer_no_json, OutcomeKind.FAILED),
+    ("a good answer", respond_well, OutcomeKind.ANSWERED),
+    ("status 500", respond_with_status_500, OutcomeKind.FAILED),
+    ("no JSON", respond_without_json, OutcomeKind.FAILED),
     ("a redirect", redirect, OutcomeKind.FAILED),
-    ("hangs up after reading", hang_up, OutcomeKind.FAILED),
-    ("breaks off in the answer", break_off, OutcomeKind.FAILED),
-    ("never answers", say_nothing, OutcomeKind.FAILED),
+    ("closes after reading", close_without_response, OutcomeKind.FAILED),
+    ("closes in the middle of the answer", close_mid_response, OutcomeKind.FAILED),
+    ("never responds", never_respond, OutcomeKind.FAILED),
 ]
 
 TASK = RunTask(owner="o", job=1, index=0, service="s", payload=msgspec.Raw(b"1"))
 
 
 class EndpointTests(AsyncTestCase):
-    def test_outcomes_and_one_request_each(self) -> None:
+    def test_each_response_has_its_outcome_after_one_request(self) -> None:
         async def run() -> None:
             for what, answer, kind in CASES:
                 async with RawEndpoint(answer) as server:
@@ -102,19 +102,19 @@
         self.run_async(run())
 
     def test_endpoint_that_dies_on_a_used_connection_sees_the_task_once(self) -> None:
-        """A client with kept connections sends the second request twice here."""
+        """Guard against a client that repeats a request when a reused connection is dead."""
 
         async def run() -> None:
             seen = []
 
-            async def answer_then_hang_up(body: bytes, writer: asyncio.StreamWriter) -> None:
+            async def respond_then_close(body: bytes, writer: asyncio.StreamWriter) -> None:
                 seen.append(body)
                 if len(seen) == 1:
-                    await answer_well(body, writer)
+                    await respond_well(body, writer)
                 else:
                     writer.close()
 
-            async with RawEndpoint(answer_then_hang_up) as server:
+            async with RawEndpoint(respond_then_close) as server:
                 endpoint = HttpEndpoint(url=server.url, max_calls=1, max_run_s=5.0)
                 first = await endpoint.run(TASK)
                 second = await endpoint.run(TASK)
@@ -124,9 +124,9 @@
 
         self.run_async(run())
 
-    def test_refused_connection_is_proof_that_nothing_ran(self) -> None:
+    def test_refused_connection_proves_that_the_task_did_not_run(self) -> None:
         async def run() -> None:
-            async with RawEndpoint(answer_well) as server:
+            async with RawEndpoint(respond_well) as server:
                 url = server.url
             outcome = await self.call(url)
             self.assertEqual(outcome.kind, OutcomeKind.UNREACHABLE)
--- a/tests/entry/test_bad_input.py
+++ b/tests/entry/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input of every kind gets a typed error with a code and its place."""
+"""Invalid requests are answered with a typed error that names the code and the place."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 DEEP = b'{"service":"echo","tasks":[{"payload":' + b"[" * 100 + b"]" * 100 + b"}]}"
 VERY_DEEP = b'{"service":"echo","tasks":[{"payload":' + b"[" * 100_000 + b"]" * 100_000 + b"}]}"
 
-# what, body, status, code, beginning of the place
+# description, body, status, code, prefix of the place
 BAD_BODIES: list[tuple[str, bytes, int, str, str]] = [
     ("no JSON", b"{", 400, "E1101", "$"),
     ("not an object", b"[]", 400, "E1101", "$"),
@@ -104,7 +104,7 @@
 
         self.run_async(run())
 
-    def test_job_of_another_account_looks_like_nothing(self) -> None:
+    def test_job_of_another_account_looks_like_an_unknown_job(self) -> None:
         async def run() -> None:
             async with LocalSystem() as system:
                 ticket = await system.get_ticket()
--- a/tests/entry/test_configuration_store.py
+++ b/tests/entry/test_configuration_store.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: races, lost answers, and what entries do with versions."""
+"""Configuration changes: concurrent writers, lost responses, and how entries apply versions."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class LossyTable(BaseTable):
-    """A table whose next transactions lose their answer, before or after the write."""
+    """A table that loses the responses to the next transactions, before or after the write."""
 
     def __init__(self, table: BaseTable, losses: list[str]) -> None:
         self._table = table
@@ -53,7 +53,7 @@
 
 
 class StoreTests(AsyncTestCase):
-    def test_operators_who_race_have_one_winner(self) -> None:
+    def test_one_of_several_concurrent_changes_is_accepted(self) -> None:
         async def run() -> None:
             store = ConfigurationStore(table=MemoryPlatform().table)
             results = await asyncio.gather(
@@ -68,7 +68,7 @@
 
         self.run_async(run())
 
-    def test_lost_answers_are_resolved_to_the_truth(self) -> None:
+    def test_change_is_written_once_when_responses_are_lost(self) -> None:
         cases = [["after"], ["before"], ["before", "after"], ["before", "before", "before"]]
 
         async def run(losses: list[str]) -> None:
@@ -81,17 +81,17 @@
         for losses in cases:
             self.run_async(run(losses))
 
-    def test_lost_answer_whose_write_was_beaten_is_a_conflict(self) -> None:
+    def test_lost_response_is_a_conflict_if_another_change_was_accepted(self) -> None:
         async def run() -> None:
             platform = MemoryPlatform()
             rival = ConfigurationStore(table=platform.table)
 
-            class BeatenTable(LossyTable):
+            class ConflictingTable(LossyTable):
                 async def transact(self, **arguments: Any) -> None:
                     await rival.replace(expected_version=0, kinds=name_account("rival"))
                     raise PlatformAnswerLost("lost, and another was first")
 
-            store = ConfigurationStore(table=BeatenTable(platform.table, []))
+            store = ConfigurationStore(table=ConflictingTable(platform.table, []))
             failed: BaseException | None = None
             try:
                 await store.replace(expected_version=0, kinds=name_account("mine"))
@@ -102,7 +102,7 @@
 
         self.run_async(run())
 
-    def test_invalid_change_is_refused_whole(self) -> None:
+    def test_invalid_change_writes_nothing(self) -> None:
         async def run() -> None:
             store = ConfigurationStore(table=MemoryPlatform().table)
             failed = False
--- a/tests/entry/test_openapi.py
+++ b/tests/entry/test_openapi.py
@@ -1,4 +1,4 @@
-"""The OpenAPI file and the routes name the same paths and methods."""
+"""The OpenAPI file and the routes have the same paths and methods."""
 
 from __future__ import annotations
 
--- a/tests/entry/test_submissions.py
+++ b/tests/entry/test_submissions.py
@@ -1,4 +1,4 @@
-"""Submissions over HTTP: tickets, keys, forwarding, joining, cancelling, hanging up."""
+"""Submissions over HTTP: tickets, keys, forwarding, joining, cancellation, disconnects."""
 
 from __future__ import annotations
 
@@ -166,7 +166,7 @@
 
         self.run_async(run())
 
-    def test_job_whose_callers_hung_up_drops_what_waits(self) -> None:
+    def test_job_without_callers_starts_no_more_tasks(self) -> None:
         async def run() -> None:
             async with LocalSystem() as system:
                 engine = system.process.entries[0].engine
--- a/tests/entry/test_tls.py
+++ b/tests/entry/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the callers' and operators' listeners, by settings."""
+"""TLS on the callers' and operators' listeners when the settings ask for it."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class TlsTests(AsyncTestCase):
-    def test_listeners_speak_tls_to_those_who_trust_them(self) -> None:
+    def test_listeners_serve_tls_clients_that_trust_the_certificate(self) -> None:
         async def run(tls: TlsSettings) -> None:
             listener = ListenerSettings(address=FREE_ADDRESS, tls=tls)
             settings = EntrySettings(callers=listener, operators=listener)
