--- a/dalemast/http/base.py
+++ b/dalemast/http/base.py
@@ -1,4 +1,4 @@
-"""The base of all request handlers: typed errors, JSON, tokens."""
+"""Base of all request handlers: typed errors, JSON and bearer tokens."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 ]
 
 RETRY_JITTER = 0.5
-"""A refused caller is told to stay away for its time plus up to this share of it."""
+"""Maximum random share added to a retry delay, so that refused callers do not retry together."""
 
 
 class ErrorBody(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """An error as callers and operators see it."""
+    """An error in a response to callers or operators."""
 
     code: str
     message: str
@@ -37,7 +37,7 @@
 
 
 class FailedAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of every answer that is not a success."""
+    """The body of every error response."""
 
     job: str | None
     outcome: str
@@ -47,7 +47,7 @@
 
 
 def decode_body(body: bytes, body_type: Any) -> Any:
-    """Decode a JSON body into a type; raises :class:`BadBody` with the place."""
+    """Decode a JSON body into a type; raise :class:`BadBody` with the place of the error."""
     try:
         return msgspec.json.decode(body, type=body_type)
     except msgspec.ValidationError as error:
@@ -56,22 +56,22 @@
     except msgspec.DecodeError as error:
         raise BadBody(str(error), place="$") from error
     except RecursionError as error:
-        raise BadBody("the nesting is too deep", place="$") from error
+        raise BadBody("the body is nested too deeply", place="$") from error
 
 
 class BaseHandler(RequestHandler):
-    """Turns typed errors into JSON answers."""
+    """Sends JSON responses and turns typed errors into them."""
 
     def set_default_headers(self) -> None:
-        """Say nothing of the server's software."""
+        """Set the content type, and a Server header that does not reveal library versions."""
         self.set_header("Server", "dalemast")
         self.set_header("Content-Type", "application/json")
 
     def compute_etag(self) -> None:
-        """Make no entity tags: no answer is read twice."""
+        """Disable entity tags, since no client caches responses."""
 
     def send_json(self, body: object, *, status: int = 200) -> None:
-        """Finish with a JSON body."""
+        """Finish the response with a JSON body."""
         self.set_status(status)
         self.finish(body if isinstance(body, bytes) else msgspec.json.encode(body))
 
@@ -83,7 +83,7 @@
         job: str | None = None,
         next_ticket: str | None = None,
     ) -> None:
-        """Finish with a typed error; a refused caller is told when to come back."""
+        """Finish the response with a typed error, and with retry headers if it has a delay."""
         if error.retry_after_s is not None:
             wait = error.retry_after_s * (1.0 + RETRY_JITTER * random.random())
             self.set_header("Retry-After", str(max(1, math.ceil(wait))))
@@ -100,27 +100,31 @@
         self.send_json(body, status=error.status)
 
     def log_exception(self, typ: Any, value: Any, tb: Any) -> None:
-        """Log faults of our own only; typed errors are answers."""
+        """Log unexpected exceptions only; typed errors are part of normal operation."""
         if not isinstance(value, DalemastError):
             super().log_exception(typ, value, tb)
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer with the typed error that was raised, or with one that stands for it."""
+        """Respond with the typed error that was raised, or with the closest one."""
         error = kwargs.get("exc_info", (None, None, None))[1]
         if isinstance(error, DalemastError):
             self.send_failure(error)
         elif isinstance(error, HTTPError) and error.status_code == 405:
-            self.send_json(_as_body(NotFound("the path has no such method")), status=405)
+            self.send_json(
+                _as_body(NotFound(f"the path does not support {self.request.method}")), status=405
+            )
         elif isinstance(error, HTTPError) and error.status_code < 500:
             self.send_failure(BadBody(error.log_message or error.reason or "bad request"))
         else:
-            self.send_failure(InternalError("the request broke off"), run=Run.MAY_HAVE_RUN)
+            self.send_failure(
+                InternalError("the request failed unexpectedly"), run=Run.MAY_HAVE_RUN
+            )
 
     def get_bearer(self) -> str:
-        """Return the bearer token; raises :class:`BadToken` when there is none."""
+        """Return the bearer token; raise :class:`BadToken` if there is none."""
         scheme, _, token = self.request.headers.get("Authorization", "").partition(" ")
         if scheme.lower() != "bearer" or not token:
-            raise BadToken("there is no bearer token")
+            raise BadToken("the request has no bearer token")
         return token.strip()
 
 
@@ -134,17 +138,17 @@
 
 
 class NotFoundHandler(BaseHandler):
-    """The answer for paths that do not exist."""
+    """Responds with 404 to paths without a route."""
 
     def prepare(self) -> None:
-        """Refuse."""
-        raise NotFound("there is nothing at this path")
+        """Raise the error for every method."""
+        raise NotFound("no resource at this path")
 
 
 class OperatorsMixin(BaseHandler):
-    """Lets only those in who know the operators' token; an empty token lets everyone in."""
+    """Checks the operators' token; an empty token disables the check."""
 
     def check_operator(self, token: str) -> None:
         """Raise :class:`BadToken` unless the request carries the token."""
         if token and not hmac.compare_digest(self.get_bearer().encode(), token.encode()):
-            raise BadToken("this is not the operators' token")
+            raise BadToken("the bearer token is not the operators' token")
--- a/dalemast/http/callers.py
+++ b/dalemast/http/callers.py
@@ -1,4 +1,4 @@
-"""A server for callers that keep their connections, and which of these wait without a request."""
+"""An HTTP server that tracks which persistent connections of callers are idle."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 
 
 class CallerServer(HTTPServer):
-    """Knows how many connections are open, and closes those that wait for a further request.
+    """Counts open connections and can close those without a request in progress.
 
-    Its handlers tell of each request by :meth:`note_request`.
+    Its handlers must call :meth:`note_request` for each request.
     """
 
     def __init__(self, application: Application, **options: Any) -> None:
         super().__init__(application, **options)
         self._served: set[object] = set()
-        """Connections that have brought a request."""
+        """Connections that have received at least one request."""
         self._idle: set[object] = set()
-        """Those of them that wait for the next one."""
+        """Connections in ``_served`` that wait for their next request."""
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open."""
+        """The number of open connections."""
         return len(self._connections)
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Note that a connection waits for a request: its first, or the one after an answer."""
+        """Mark a connection as idle, unless it has not received its first request yet."""
         if server_conn in self._served:
             self._idle.add(server_conn)
         return super().start_request(server_conn, request_conn)
 
     def note_request(self, server_conn: object) -> None:
-        """Note that a connection has brought a request."""
+        """Mark a connection as busy with a request."""
         self._served.add(server_conn)
         self._idle.discard(server_conn)
 
     def on_close(self, server_conn: object) -> None:
-        """Forget a connection that has ended."""
+        """Remove a closed connection."""
         self._served.discard(server_conn)
         self._idle.discard(server_conn)
         super().on_close(server_conn)
 
     def close_idle(self) -> int:
-        """Close the connections that wait for a further request; return how many.
+        """Close the idle connections and return their number.
 
-        One that was just opened stays: its first request is on its way.
+        A new connection stays open, since its first request may be on its way.
         """
         idle = list(self._idle)
         for connection in idle:
--- a/dalemast/http/client.py
+++ b/dalemast/http/client.py
@@ -1,9 +1,9 @@
-"""A JSON client on tornado's HTTP client.
+"""A JSON client based on Tornado's curl HTTP client.
 
-The curl client keeps connections. It also sends a request again by itself when a kept connection
-turns out dead, which is harmless between dalemast's own processes, where every request may be
-repeated, and forbidden towards endpoints: see :mod:`dalemast.agent.endpoints`. The fleet's many
-short calls go through :mod:`dalemast.http.direct` instead.
+curl reuses connections and repeats a request by itself when a reused connection is dead. That is
+safe between dalemast's own processes, whose requests may all be repeated, but not for calls to
+endpoints: see :mod:`dalemast.agent.endpoints`. The fleet's frequent short calls use
+:mod:`dalemast.http.direct` instead.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class JsonClient:
-    """Requests with JSON bodies over kept connections."""
+    """Sends requests with JSON bodies over persistent connections."""
 
     def __init__(self, *, ca_file: str = "", max_clients: int = MAX_CLIENTS) -> None:
         self._client: AsyncHTTPClient | None = None
@@ -44,9 +44,9 @@
     ) -> JsonResponse:
         """Send a request and return the response, whatever its status.
 
-        ``body`` is encoded as JSON unless it is bytes. ``is_fresh`` asks for a new connection, as
-        after a call without an answer: other kept ones may have fallen silent with it. Raises
-        :class:`HttpFailure`.
+        ``body`` is encoded as JSON unless it is bytes. ``is_fresh`` requests a new connection, for
+        use after a call without a response, since other open connections may be dead as well.
+        Raise :class:`HttpFailure` if there is no response.
         """
         request = HTTPRequest(
             url,
@@ -57,7 +57,7 @@
             connect_timeout=min(timeout_s, 5.0),
             request_timeout=timeout_s,
             ca_certs=self._ca_file or None,
-            prepare_curl_callback=_connect_anew if is_fresh else None,
+            prepare_curl_callback=_use_new_connection if is_fresh else None,
         )
         try:
             response = await self._get_client().fetch(request, raise_error=False)
@@ -77,6 +77,6 @@
         return self._client
 
 
-def _connect_anew(curl: pycurl.Curl) -> None:
-    """Let one request use no kept connection; handles are used again, but reset before."""
+def _use_new_connection(curl: pycurl.Curl) -> None:
+    """Make curl open a new connection for one request; the handle is reset before its next use."""
     curl.setopt(pycurl.FRESH_CONNECT, 1)
--- a/dalemast/http/connections.py
+++ b/dalemast/http/connections.py
@@ -1,4 +1,4 @@
-"""One kept connection of a client, and the parsing of what arrives on it."""
+"""A persistent client connection and its response parser."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 __all__ = ["MAX_BODY_BYTES", "MAX_HEAD_BYTES", "PersistentConnection"]
 
 MAX_BODY_BYTES = 8 * 1024 * 1024
-"""Longest body that is taken in: the platform's lists come in pages of at most 1 MB."""
+"""Maximum size of a response; the platform's lists are paginated well below it."""
 MAX_HEAD_BYTES = 64 * 1024
-"""Most that may arrive before a body begins."""
-LEAST_FINAL_STATUS = 200
-"""Lower ones announce that the response is still to come."""
+"""Maximum size of a response's status line and headers."""
+MIN_FINAL_STATUS = 200
+"""Lower status codes are interim responses, which the final response follows."""
 
 
 class PersistentConnection(asyncio.Protocol):
-    """One connection, with at most one call at a time. It also takes the parser's callbacks.
+    """A connection with at most one call at a time; also the parser's callback object.
 
-    ``on_end`` is called once when the connection has ended, unless :meth:`mark_forgotten` came
-    before.
+    ``on_end`` is called once when the connection has ended, unless :meth:`mark_end_handled` was
+    called before.
     """
 
     def __init__(self, *, on_end: Callable[[PersistentConnection], None]) -> None:
@@ -31,7 +31,7 @@
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport | None = None
         self._answer: asyncio.Future[JsonResponse] | None = None
-        self._is_forgotten = False
+        self._is_end_handled = False
         self._body: list[bytes] = []
         self._size = 0
         self._retry_after = ""
@@ -39,18 +39,18 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another call can be made here."""
+        """Whether another call can be made on this connection."""
         return self._transport is not None and not self._transport.is_closing()
 
-    async def exchange(self, data: bytes, over_at: float) -> JsonResponse:
-        """Send a request and return the response; what ends without one ends the connection."""
+    async def exchange(self, data: bytes, deadline: float) -> JsonResponse:
+        """Send a request and return the response; close the connection if there is none."""
         if not self.is_reusable:
-            raise HttpFailure("the connection has ended", is_unreachable=False)
+            raise HttpFailure("the connection is closed", is_unreachable=False)
         assert self._transport is not None
         loop = asyncio.get_running_loop()
         self._answer = loop.create_future()
         self._transport.write(data)
-        timer = loop.call_at(over_at, self._fail, "no answer in time")
+        timer = loop.call_at(deadline, self._fail, "timed out waiting for the response")
         try:
             return await self._answer
         except asyncio.CancelledError:
@@ -61,68 +61,68 @@
             self._answer = None
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection without waiting for pending data."""
         if self._transport is not None:
             self._transport.abort()
 
-    def mark_forgotten(self) -> bool:
-        """Tell whether the connection's end is news to its client, and count it as told."""
-        is_news = not self._is_forgotten
-        self._is_forgotten = True
-        return is_news
+    def mark_end_handled(self) -> bool:
+        """Mark the connection's end as handled; return False if it already was."""
+        is_first = not self._is_end_handled
+        self._is_end_handled = True
+        return is_first
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin; called by the loop."""
+        """Store the transport; called by the event loop."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Note the end; called by the loop."""
-        self._fail(f"the connection ended: {error or 'closed by the peer'}")
-        if self.mark_forgotten():
+        """Fail a pending call and report the end; called by the event loop."""
+        self._fail(f"the connection was lost: {error or 'closed by the peer'}")
+        if self.mark_end_handled():
             self._on_end(self)
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes; called by the loop."""
+        """Feed received bytes to the parser; called by the event loop."""
         if self._answer is None or self._answer.done():
-            # Nobody asked: whatever this is, the next response can't be told from it.
+            # No call is pending. The data could be mistaken for the next call's response.
             self.abort()
             return
         self._size += len(data)
         if self._size > MAX_HEAD_BYTES and not self._is_in_body:
-            self._fail("the response's head is too long")
+            self._fail(f"the response headers are longer than {MAX_HEAD_BYTES} bytes")
             return
         if self._size > MAX_BODY_BYTES:
-            self._fail("the response is too long")
+            self._fail(f"the response is longer than {MAX_BODY_BYTES} bytes")
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(f"the response can't be read: {error!r}")
+            self._fail(f"the response cannot be parsed: {error!r}")
 
     def on_message_begin(self) -> None:
-        """Begin a response; called by the parser."""
+        """Reset the state for a new response; called by the parser."""
         self._body = []
         self._retry_after = ""
         self._is_in_body = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; called by the parser."""
+        """Store the Retry-After header; called by the parser."""
         if name.lower() == b"retry-after":
             self._retry_after = value.decode("latin-1")
 
     def on_headers_complete(self) -> None:
-        """Expect a body; called by the parser."""
+        """Mark the end of the headers; called by the parser."""
         self._is_in_body = True
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body; called by the parser."""
+        """Store a part of the body; called by the parser."""
         self._body.append(data)
 
     def on_message_complete(self) -> None:
-        """Give the response out; called by the parser."""
+        """Complete the pending call with the response; called by the parser."""
         status = self._parser.get_status_code()
-        if status < LEAST_FINAL_STATUS:
+        if status < MIN_FINAL_STATUS:
             return
         self._size = 0
         if self._answer is None or self._answer.done():
@@ -136,7 +136,7 @@
             self.abort()
 
     def _fail(self, message: str) -> None:
-        """Let the call end without a response, and the connection with it."""
+        """Fail the pending call, if any, and close the connection."""
         if self._answer is not None and not self._answer.done():
             self._answer.set_exception(HttpFailure(message, is_unreachable=False))
         self.abort()
--- a/dalemast/http/direct.py
+++ b/dalemast/http/direct.py
@@ -1,11 +1,10 @@
-"""Many short calls to one address, over kept connections, at little processor time.
+"""An HTTP client for many short calls to one address over persistent connections.
 
-An agent calls its worker for every task that starts or ends, so what one call costs is most of what
-the agent costs. In a loop over loopback a call takes 32 us of processor time here, 97 us with
-curl's multi interface, 116 us with aiohttp and 193 us with curl behind Tornado
-(docs/decisions/0010-worker-calls.md). httptools parses what arrives; connections are asyncio's.
+An agent calls its worker for every task that starts or ends, so the processor time of a call
+dominates the agent's own. The client is therefore built on asyncio and httptools rather than curl
+(docs/decisions/0010-worker-calls.md).
 
-No request is ever sent twice. Whoever gets no answer decides what that means.
+No request is ever sent twice: only the caller knows whether a call may be repeated.
 """
 
 from __future__ import annotations
@@ -23,9 +22,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConnectionHandshake:
-    """The call that each connection begins with, to find out who is at its other end.
+    """A call sent first on each new connection, to verify the identity of the peer.
 
-    ``accept`` gets the response; what it raises ends the connection and the call that wanted it.
+    ``accept`` receives the response. If it raises, the connection is closed and the exception
+    propagates to the call that opened the connection.
     """
 
     path: str
@@ -35,7 +35,7 @@
 
 
 class DirectClient:
-    """Calls one address. ``max_connections`` bounds how many calls are under way at a time."""
+    """Calls one address. ``max_connections`` limits the number of concurrent calls."""
 
     def __init__(
         self, *, address: str, max_connections: int, handshake: ConnectionHandshake | None = None
@@ -46,10 +46,10 @@
         self._max_connections = max_connections
         self._handshake = handshake
         self._idle: list[PersistentConnection] = []
-        self._open = 0
-        """Connections that are idle, in use or being opened."""
+        self._open_count = 0
+        """Number of connections that are idle, in use or being opened."""
         self._waiting: deque[asyncio.Future[None]] = deque()
-        """Calls that wait for a connection, the longest wait first."""
+        """Calls that wait for a connection, in order of arrival."""
 
     async def request(
         self,
@@ -63,20 +63,21 @@
     ) -> JsonResponse:
         """Send a request and return the response, whatever its status.
 
-        ``body`` is encoded as JSON unless it is bytes. ``timeout_s`` bounds all of it, the wait for
-        a connection too. ``is_fresh`` asks for a new connection, as after a call without an answer:
-        kept ones may have fallen silent with it. Raises :class:`HttpFailure`.
+        ``body`` is encoded as JSON unless it is bytes. ``timeout_s`` includes the wait for a
+        connection. ``is_fresh`` requests a new connection, for use after a call without a response,
+        since other open connections may be dead as well. Raise :class:`HttpFailure` if there is no
+        response.
         """
         data = self._make_request(method, path, encode_body(body) or b"", headers or {})
-        over_at = asyncio.get_running_loop().time() + timeout_s
-        connection = await self._acquire(over_at, is_fresh=is_fresh)
+        deadline = asyncio.get_running_loop().time() + timeout_s
+        connection = await self._acquire(deadline, is_fresh=is_fresh)
         try:
-            return await connection.exchange(data, over_at)
+            return await connection.exchange(data, deadline)
         finally:
             self._release(connection)
 
     def close(self) -> None:
-        """Close the connections that no call uses."""
+        """Close the idle connections."""
         for connection in self._idle:
             connection.abort()
 
@@ -88,88 +89,96 @@
         )
         return head.encode() + body
 
-    async def _acquire(self, over_at: float, *, is_fresh: bool) -> PersistentConnection:
-        """Return a connection for one call: a kept one, a new one, or the first to become free."""
+    async def _acquire(self, deadline: float, *, is_fresh: bool) -> PersistentConnection:
+        """Return a connection for one call: an idle one, a new one, or the next one released."""
         while True:
             if self._idle and not is_fresh:
                 connection = self._idle.pop()
                 if connection.is_reusable:
                     return connection
                 continue
-            if self._open < self._max_connections:
-                return await self._connect(over_at)
+            if self._open_count < self._max_connections:
+                return await self._connect(deadline)
             if self._idle:
-                # A new one is wanted and none may be added: the one used longest ago makes room.
+                # A new connection is required but the limit is reached: replace the one that has
+                # been idle longest.
                 self._idle[0].abort()
-                self._forget_aborted(self._idle[0])
+                self._handle_abort(self._idle[0])
                 continue
-            await self._wait_for_release(over_at)
+            await self._wait_for_release(deadline)
 
-    def _forget(self, connection: PersistentConnection) -> None:
-        """Note that a connection has ended."""
+    def _handle_end(self, connection: PersistentConnection) -> None:
+        """Remove a connection that has ended."""
         if connection in self._idle:
             self._idle.remove(connection)
-        self._open -= 1
+        self._open_count -= 1
         self._wake_next()
 
-    def _forget_aborted(self, connection: PersistentConnection) -> None:
-        """Count a connection as ended at once; its end is reported only in a later turn."""
-        if connection.mark_forgotten():
-            self._forget(connection)
+    def _handle_abort(self, connection: PersistentConnection) -> None:
+        """Remove an aborted connection now; asyncio reports its end only later in the loop."""
+        if connection.mark_end_handled():
+            self._handle_end(connection)
 
-    async def _connect(self, over_at: float) -> PersistentConnection:
+    async def _connect(self, deadline: float) -> PersistentConnection:
         loop = asyncio.get_running_loop()
-        self._open += 1
+        self._open_count += 1
         try:
-            async with asyncio.timeout_at(over_at):
+            async with asyncio.timeout_at(deadline):
                 _, connection = await loop.create_connection(
-                    lambda: PersistentConnection(on_end=self._forget), self._host, self._port
+                    lambda: PersistentConnection(on_end=self._handle_end), self._host, self._port
                 )
         except TimeoutError as error:
-            self._drop_opening()
-            raise HttpFailure("no connection in time", is_unreachable=False) from error
+            self._handle_connect_failure()
+            raise HttpFailure(
+                f"connecting to {self._address} timed out", is_unreachable=False
+            ) from error
         except OSError as error:
-            self._drop_opening()
-            # Only a refusal tells that nothing listens there; others are this host's own, or the
-            # network's.
+            self._handle_connect_failure()
+            # Only a refused connection proves that no process listens there. Other errors may be
+            # caused by this host or the network.
             is_refused = isinstance(error, ConnectionRefusedError)
-            raise HttpFailure(f"no connection: {error}", is_unreachable=is_refused) from error
+            raise HttpFailure(
+                f"connecting to {self._address} failed: {error}", is_unreachable=is_refused
+            ) from error
         except asyncio.CancelledError:
-            self._drop_opening()
+            self._handle_connect_failure()
             raise
         if self._handshake is not None:
-            await self._perform_handshake(connection, self._handshake, over_at)
+            await self._perform_handshake(connection, self._handshake, deadline)
         return connection
 
     async def _perform_handshake(
-        self, connection: PersistentConnection, handshake: ConnectionHandshake, over_at: float
+        self, connection: PersistentConnection, handshake: ConnectionHandshake, deadline: float
     ) -> None:
-        """Make sure of who is at the other end before anything else is said there."""
+        """Verify the peer before any other request is sent on the connection."""
         body = encode_body(handshake.body) or b""
         data = self._make_request("POST", handshake.path, body, handshake.headers)
         try:
-            handshake.accept(await connection.exchange(data, over_at))
+            handshake.accept(await connection.exchange(data, deadline))
         except BaseException:
             connection.abort()
             raise
 
-    def _drop_opening(self) -> None:
-        self._open -= 1
+    def _handle_connect_failure(self) -> None:
+        self._open_count -= 1
         self._wake_next()
 
-    async def _wait_for_release(self, over_at: float) -> None:
+    async def _wait_for_release(self, deadline: float) -> None:
         waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting.append(waiter)
         try:
-            async with asyncio.timeout_at(over_at):
+            async with asyncio.timeout_at(deadline):
                 await waiter
         except TimeoutError as error:
-            raise HttpFailure("all connections are in use", is_unreachable=False) from error
+            raise HttpFailure(
+                f"timed out waiting for one of {self._max_connections} connections",
+                is_unreachable=False,
+            ) from error
         finally:
             if waiter in self._waiting:
                 self._waiting.remove(waiter)
-            elif asyncio.get_running_loop().time() >= over_at:
-                # It may have been this call's turn as it ended.
+            elif asyncio.get_running_loop().time() >= deadline:
+                # A connection may have been released to this call just as it timed out.
                 self._wake_next()
 
     def _release(self, connection: PersistentConnection) -> None:
@@ -178,7 +187,7 @@
             self._wake_next()
 
     def _wake_next(self) -> None:
-        """Let the call that has waited longest look for a connection again."""
+        """Wake the call that has waited longest, so that it tries to acquire a connection."""
         while self._waiting:
             waiter = self._waiting.popleft()
             if not waiter.done():
--- a/dalemast/http/exceptions.py
+++ b/dalemast/http/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of requests, before any of them reaches a decision."""
+"""Errors of malformed or unauthorized requests."""
 
 from dalemast.core.exceptions import DalemastError
 
@@ -14,7 +14,7 @@
 
 
 class BadBody(DalemastError):
-    """The body is not the JSON that was asked for; the place says where."""
+    """The body is not valid JSON or does not match the schema; the place names the field."""
 
     code = "E1101"
     status = 400
@@ -38,7 +38,7 @@
 
 
 class NoSubmissionKey(DalemastError):
-    """A job came with neither a ticket nor a key, so it could not be told from its copy."""
+    """A job has neither a ticket nor a key, so a resubmission could not be recognized."""
 
     code = "E1104"
     status = 428
@@ -54,7 +54,7 @@
 
 
 class NotFound(DalemastError):
-    """There is nothing at this path."""
+    """There is no resource at this path, or it does not support the method."""
 
     code = "E1106"
     status = 404
@@ -62,7 +62,7 @@
 
 
 class InternalError(DalemastError):
-    """A fault of dalemast itself; what ran is not known."""
+    """An internal error of dalemast; the job may or may not have run."""
 
     code = "E1199"
     status = 500
--- a/dalemast/http/links.py
+++ b/dalemast/http/links.py
@@ -1,4 +1,4 @@
-"""What both ends of a link share: a task that owns the sending side, and the emulated delay."""
+"""The sending side of a link, shared by entries and agents."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LinkWriter:
-    """Sends messages in order, each after the emulated delay. ``delay_s`` is one way."""
+    """Sends messages in order from a task of its own, each after an emulated one-way delay."""
 
     def __init__(
         self,
@@ -33,15 +33,15 @@
         self._task = asyncio.create_task(self._run())
 
     def set_delay(self, delay_s: float) -> None:
-        """Change the emulated delay, once it is known how far the other end is."""
+        """Set the emulated delay, which is known only after the other end's hello."""
         self._delay_s = delay_s
 
     def send(self, data: bytes) -> None:
-        """Send a message without waiting."""
+        """Queue a message for sending."""
         self._queue.put_nowait((clock.monotonic() + self._delay_s, data))
 
     def end(self) -> None:
-        """Send nothing more and close the link."""
+        """Stop sending and close the link."""
         self._task.cancel()
         self._close()
 
--- a/dalemast/http/messages.py
+++ b/dalemast/http/messages.py
@@ -1,4 +1,4 @@
-"""What clients give: a response, or the failure to get one."""
+"""Result types of the HTTP clients: a response, or the failure to get one."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class HttpFailure(Exception):
-    """No response came. ``is_unreachable`` tells that the peer cannot have seen the request."""
+    """No response was received.
+
+    ``is_unreachable`` means that the peer cannot have received the request.
+    """
 
     def __init__(self, message: str, *, is_unreachable: bool) -> None:
         super().__init__(message)
@@ -21,18 +24,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JsonResponse:
-    """A response; ``body`` is not parsed until asked for."""
+    """A response whose body is parsed on demand."""
 
     status: int
     body: bytes
     retry_after: str = ""
 
     def decode(self, answer_type: Any) -> Any:
-        """Parse the body; raises :class:`msgspec.MsgspecError`."""
+        """Parse the body as the given type; raise :class:`msgspec.MsgspecError` on failure."""
         return msgspec.json.decode(self.body, type=answer_type)
 
     def get_error_code(self) -> str:
-        """Return the code of an error body, or an empty text."""
+        """Return the error code in the body, or an empty string."""
         try:
             return str(msgspec.json.decode(self.body)["error"]["code"])
         except (msgspec.MsgspecError, KeyError, TypeError):
@@ -40,7 +43,7 @@
 
 
 def encode_body(body: object) -> bytes | None:
-    """Encode a body as JSON unless it is bytes or there is none."""
+    """Encode a body as JSON; return bytes and None unchanged."""
     if body is None:
         return None
     if isinstance(body, bytes):
--- a/dalemast/http/operators.py
+++ b/dalemast/http/operators.py
@@ -1,4 +1,4 @@
-"""What every process answers to operators in the same way."""
+"""Handlers of the operators' API that every process has."""
 
 from __future__ import annotations
 
@@ -11,32 +11,32 @@
 __all__ = ["OperatorsHandler", "ServedProcess", "get_common_routes"]
 
 OPEN_PATHS = frozenset({"/v1/health", "/v1/ready"})
-"""Paths that a balancer asks without a token."""
+"""Paths that need no token, for load balancers."""
 
 
 class ServedProcess(Protocol):
-    """What the handlers need of a process."""
+    """Interface of a process to the handlers."""
 
     @property
     def token(self) -> str:
-        """The operators' token; empty lets everyone in."""
+        """The operators' token; an empty one disables the check."""
 
     @property
     def metrics(self) -> Metrics:
-        """Counters and latencies."""
+        """Counters and latency histograms."""
 
     def get_status(self) -> str:
-        """Return ready, or the reason why new work is not taken."""
+        """Return "ready", or the reason why new work is not accepted."""
 
     def get_state(self) -> object:
-        """Return the dump."""
+        """Return the state dump."""
 
 
 class OperatorsHandler(OperatorsMixin):
-    """A handler on the operators' listener; all but open paths need the token."""
+    """Base of the handlers on the operators' listener; all but open paths need the token."""
 
     def initialize(self, process: ServedProcess) -> None:
-        """Take what the routes give."""
+        """Set the process given in the route."""
         self._process = process
 
     def prepare(self) -> None:
@@ -49,7 +49,7 @@
     """``GET /v1/state``."""
 
     def get(self) -> None:
-        """Dump the process."""
+        """Send the state dump."""
         self.send_json(self._process.get_state())
 
 
@@ -57,29 +57,29 @@
     """``GET /v1/metrics``."""
 
     def get(self) -> None:
-        """Dump the metrics."""
+        """Send the metrics."""
         self.send_json(self._process.metrics.dump())
 
 
 class HealthHandler(OperatorsHandler):
-    """``GET /v1/health``: the loop turns."""
+    """``GET /v1/health``: whether the event loop is running."""
 
     def get(self) -> None:
-        """Answer."""
+        """Respond with 200."""
         self.send_json({"status": "ok"})
 
 
 class ReadyHandler(OperatorsHandler):
-    """``GET /v1/ready``: new work is taken."""
+    """``GET /v1/ready``: whether new work is accepted."""
 
     def get(self) -> None:
-        """Answer 200, or 503 with the reason."""
+        """Respond with 200, or with 503 and the reason."""
         status = self._process.get_status()
         self.send_json({"status": status}, status=200 if status == "ready" else 503)
 
 
 def get_common_routes(process: ServedProcess) -> list[Route]:
-    """Return the routes that every process has."""
+    """Return the routes that are common to all processes."""
     arguments = {"process": process}
     return [
         ("/v1/state", StateHandler, arguments),
--- a/dalemast/http/security.py
+++ b/dalemast/http/security.py
@@ -1,7 +1,7 @@
-"""How the system's own processes prove themselves to one another.
+"""Authentication between the system's own processes.
 
-Both sides derive the same value from the shared system key; it is compared in constant time. The
-key itself never travels. Confidentiality on hostile networks is the listeners' TLS.
+Both sides derive the same value from the shared system key and compare it in constant time. The key
+itself is never sent. TLS on the listeners provides confidentiality.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 
 
 class SystemProof:
-    """The value that a process of the system sends with each request to another."""
+    """The value by which a process of the system authenticates its requests to another."""
 
     def __init__(self, *, key: bytes) -> None:
         self._value = hmac.new(key, b"dalemast.system", hashlib.sha256).hexdigest()
 
     @property
     def headers(self) -> dict[str, str]:
-        """The headers that carry the proof."""
+        """The request headers that contain the proof."""
         return {SYSTEM_HEADER: self._value}
 
     def is_valid(self, value: str) -> bool:
-        """Tell whether a received value is the right one."""
+        """Return whether a received value is the expected one."""
         return hmac.compare_digest(self._value.encode(), value.encode())
 
 
 def get_token_digest(token: str) -> str:
-    """Return the hex SHA-256 of a caller's token, as accounts declare it."""
+    """Return the hex SHA-256 digest of a caller's token, as stored in an account."""
     return hashlib.sha256(token.encode()).hexdigest()
--- a/dalemast/http/server.py
+++ b/dalemast/http/server.py
@@ -1,4 +1,4 @@
-"""Listeners: an application on an address of the settings, with TLS if they say so."""
+"""HTTP servers bound to the addresses of the settings, with TLS if configured."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 __all__ = ["BACKLOG", "Listener", "bind_address", "skip_access_log"]
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted on an address where many clients connect at once."""
+"""Listen backlog for addresses to which many clients connect at once."""
 DEFAULT_BACKLOG = 128
-"""The same on other addresses; Tornado's own default."""
+"""Listen backlog for other addresses; the same as Tornado's default."""
 
 Route = tuple[str, type, dict[str, Any]]
 
@@ -51,23 +51,23 @@
 
     @property
     def address(self) -> str:
-        """The address in use, with the port that the system chose."""
+        """The bound address, with the port chosen by the system if the configured one is 0."""
         return self._address
 
     def add_routes(self, routes: list[Route]) -> None:
-        """Add routes that could not be made before the address was known."""
+        """Add routes that depend on the bound address."""
         self._application.add_handlers(".*", routes)  # type: ignore[arg-type]
 
     def start(self) -> None:
-        """Begin to accept connections."""
+        """Start accepting connections."""
         self._server.add_sockets(self._sockets)
 
     def stop_accepting(self) -> None:
-        """Accept no further connections; the open ones go on."""
+        """Stop accepting connections; open ones are still served."""
         self._server.stop()
 
     async def close(self) -> None:
-        """Stop and close every connection."""
+        """Stop accepting connections and close the open ones."""
         self._server.stop()
         await self._server.close_all_connections()
 
@@ -75,9 +75,9 @@
 def bind_address(
     address: str, *, backlog: int = DEFAULT_BACKLOG
 ) -> tuple[list[socket.socket], str]:
-    """Bind sockets to a host and port; return them and the address in use.
+    """Bind sockets to a host and port; return them and the bound address.
 
-    The address in use has the port that the system chose when the port asked for is 0.
+    The bound address has the port chosen by the system if the requested port is 0.
     """
     host, _, port = address.rpartition(":")
     sockets = bind_sockets(int(port), host.strip("[]"), backlog=backlog)
@@ -85,7 +85,7 @@
 
 
 def skip_access_log(handler: RequestHandler) -> None:
-    """Log no line for each request: requests are logged where they are decided on."""
+    """Disable Tornado's access log; requests are logged by the code that handles them."""
 
 
 def _get_ssl(settings: ListenerSettings) -> ssl.SSLContext | None:
--- a/tests/http/test_direct.py
+++ b/tests/http/test_direct.py
@@ -1,4 +1,4 @@
-"""Calls over kept connections, against servers that do what servers should not."""
+"""Calls over persistent connections, to servers that respond correctly and incorrectly."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class RawServer:
-    """A TCP server that notes requests and connections and answers each as a function says.
+    """A TCP server that records requests and connections and responds with a given function.
 
-    The function gets the request's number, from 0, over all connections.
+    The function receives the request's number, from 0, over all connections.
     """
 
     def __init__(self, answer: Answer) -> None:
@@ -47,22 +47,22 @@
             writer.close()
 
 
-async def answer_well(number: int, writer: asyncio.StreamWriter) -> None:
+async def respond_well(number: int, writer: asyncio.StreamWriter) -> None:
     writer.write(OK)
 
 
-async def stay_silent(number: int, writer: asyncio.StreamWriter) -> None:
+async def never_respond(number: int, writer: asyncio.StreamWriter) -> None:
     await asyncio.sleep(60.0)
 
 
-def answer_with(data: bytes) -> Answer:
+def respond_with(data: bytes) -> Answer:
     async def answer(number: int, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
 
     return answer
 
 
-def answer_first_with(data: bytes) -> Answer:
+def respond_first_with(data: bytes) -> Answer:
     async def answer(number: int, writer: asyncio.StreamWriter) -> None:
         writer.write(OK if number else data)
 
@@ -74,8 +74,8 @@
 
 
 class DirectClientTests(AsyncTestCase):
-    def serve(self, answer: Answer, scenario: Any, *, max_connections: int = 1) -> None:
-        """Run a scenario with a server and a client of it."""
+    def run_scenario(self, answer: Answer, scenario: Any, *, max_connections: int = 1) -> None:
+        """Run a scenario with a server and a client for it."""
 
         async def run() -> None:
             async with RawServer(answer) as server:
@@ -85,7 +85,7 @@
 
         self.run_async(run())
 
-    def fail(self, answer: Answer, *, timeout_s: float = 5.0) -> None:
+    def check_failure(self, answer: Answer, *, timeout_s: float = 5.0) -> None:
         """Check that the first call fails and the next one is served on a new connection."""
 
         async def scenario(server: RawServer, client: DirectClient) -> None:
@@ -95,7 +95,7 @@
             self.assertEqual(200, (await call(client)).status)
             self.assertEqual((2, 2), (len(server.requests), server.connections))
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
     def test_calls_share_a_connection(self) -> None:
         async def scenario(server: RawServer, client: DirectClient) -> None:
@@ -104,7 +104,7 @@
             self.assertEqual((3, 1), (len(server.requests), server.connections))
             self.assertIn(b'\r\n\r\n{"a":1}', server.requests[0])
 
-        self.serve(answer_well, scenario)
+        self.run_scenario(respond_well, scenario)
 
     def test_headers_are_sent_and_read(self) -> None:
         async def scenario(server: RawServer, client: DirectClient) -> None:
@@ -113,9 +113,9 @@
             self.assertIn(b"\r\nLife: w-1\r\n", server.requests[0])
 
         refusal = b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n"
-        self.serve(answer_with(refusal), scenario)
+        self.run_scenario(respond_with(refusal), scenario)
 
-    def test_an_answer_may_come_byte_by_byte(self) -> None:
+    def test_a_response_may_arrive_byte_by_byte(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
             for position in range(len(OK)):
                 writer.write(OK[position : position + 1])
@@ -126,9 +126,9 @@
             for _ in range(2):
                 self.assertEqual(b"{}", (await call(client)).body)
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
-    def test_an_answer_may_come_in_chunks_after_an_announcement(self) -> None:
+    def test_a_chunked_response_may_follow_an_interim_response(self) -> None:
         chunked = (
             b"HTTP/1.1 100 Continue\r\n\r\n"
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n1\r\n}\r\n0\r\n\r\n"
@@ -140,9 +140,9 @@
                 self.assertEqual((200, b"{}"), (response.status, response.body))
             self.assertEqual(1, server.connections)
 
-        self.serve(answer_with(chunked), scenario)
+        self.run_scenario(respond_with(chunked), scenario)
 
-    def test_a_connection_that_the_peer_ends_is_not_used_again(self) -> None:
+    def test_a_connection_closed_by_the_peer_is_not_reused(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
             writer.write(OK)
             writer.close()
@@ -153,9 +153,9 @@
                 await asyncio.sleep(0.05)
             self.assertEqual((3, 3), (len(server.requests), server.connections))
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
-    def test_a_peer_may_ask_for_the_connection_to_end(self) -> None:
+    def test_a_peer_may_request_that_the_connection_is_closed(self) -> None:
         last = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\n{}"
 
         async def scenario(server: RawServer, client: DirectClient) -> None:
@@ -163,9 +163,9 @@
                 self.assertEqual(200, (await call(client)).status)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer_with(last), scenario)
+        self.run_scenario(respond_with(last), scenario)
 
-    def test_a_call_that_breaks_off_is_not_sent_again(self) -> None:
+    def test_a_call_whose_connection_is_lost_is_not_sent_again(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
             if number == 1:
                 writer.transport.abort()
@@ -178,9 +178,9 @@
                 await call(client)
             self.assertEqual(2, len(server.requests))
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
-    def test_a_late_answer_is_no_answer_to_the_next_call(self) -> None:
+    def test_a_late_response_is_not_given_to_the_next_call(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
             if number == 0:
                 await asyncio.sleep(0.3)
@@ -195,46 +195,48 @@
             self.assertEqual(b"{}", (await call(client)).body)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
-    def test_nonsense_ends_the_connection(self) -> None:
-        self.fail(answer_first_with(b"\x16\x03\x01 no such protocol\r\n\r\n"))
+    def test_data_that_is_not_http_closes_the_connection(self) -> None:
+        self.check_failure(respond_first_with(b"\x16\x03\x01 no such protocol\r\n\r\n"))
 
-    def test_a_length_that_is_no_number_ends_the_connection(self) -> None:
-        self.fail(answer_first_with(OK.replace(b"Length: 2", b"Length: x")))
+    def test_an_invalid_content_length_closes_the_connection(self) -> None:
+        self.check_failure(respond_first_with(OK.replace(b"Length: 2", b"Length: x")))
 
-    def test_a_body_that_is_too_long_ends_the_connection(self) -> None:
+    def test_a_body_that_is_too_long_closes_the_connection(self) -> None:
         head = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MAX_BODY_BYTES)
-        self.fail(answer_first_with(head + bytes(MAX_BODY_BYTES)))
+        self.check_failure(respond_first_with(head + bytes(MAX_BODY_BYTES)))
 
-    def test_a_head_that_is_too_long_ends_the_connection(self) -> None:
-        self.fail(answer_first_with(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES))
+    def test_headers_that_are_too_long_close_the_connection(self) -> None:
+        self.check_failure(
+            respond_first_with(b"HTTP/1.1 200 OK\r\nX: " + b"x" * 2 * MAX_HEAD_BYTES)
+        )
 
-    def test_what_nobody_asked_for_ends_the_connection(self) -> None:
+    def test_an_unrequested_response_closes_the_connection(self) -> None:
         async def scenario(server: RawServer, client: DirectClient) -> None:
             self.assertEqual(b"{}", (await call(client)).body)
             await asyncio.sleep(0.05)
             self.assertEqual(b"{}", (await call(client)).body)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer_first_with(OK + OK.replace(b"{}", b"[]")), scenario)
+        self.run_scenario(respond_first_with(OK + OK.replace(b"{}", b"[]")), scenario)
 
-    def test_silence_ends_the_call_and_its_connection(self) -> None:
+    def test_a_timeout_closes_the_connection(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
-            await (answer_well if number else stay_silent)(number, writer)
+            await (respond_well if number else never_respond)(number, writer)
 
-        self.fail(answer, timeout_s=0.05)
+        self.check_failure(answer, timeout_s=0.05)
 
-    def test_a_fresh_connection_replaces_one_that_was_kept(self) -> None:
+    def test_a_requested_new_connection_replaces_an_idle_one(self) -> None:
         async def scenario(server: RawServer, client: DirectClient) -> None:
             await call(client)
             await call(client, is_fresh=True)
             await call(client)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer_well, scenario)
+        self.run_scenario(respond_well, scenario)
 
-    def test_calls_wait_for_a_connection_in_their_order(self) -> None:
+    def test_calls_get_connections_in_order_of_arrival(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
             await asyncio.sleep(0.01)
             writer.write(OK)
@@ -246,9 +248,9 @@
             self.assertEqual([b"/%d" % n for n in range(6)], asked)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer, scenario, max_connections=2)
+        self.run_scenario(answer, scenario, max_connections=2)
 
-    def test_a_wait_for_a_connection_counts_as_time_of_the_call(self) -> None:
+    def test_the_timeout_includes_the_wait_for_a_connection(self) -> None:
         async def scenario(server: RawServer, client: DirectClient) -> None:
             first = asyncio.ensure_future(call(client, 0.3))
             await asyncio.sleep(0.05)
@@ -258,11 +260,11 @@
                 await first
             self.assertEqual(1, len(server.requests))
 
-        self.serve(stay_silent, scenario)
+        self.run_scenario(never_respond, scenario)
 
-    def test_a_cancelled_call_leaves_no_connection_in_doubt(self) -> None:
+    def test_the_connection_of_a_cancelled_call_is_not_reused(self) -> None:
         async def answer(number: int, writer: asyncio.StreamWriter) -> None:
-            await (answer_well if number else stay_silent)(number, writer)
+            await (respond_well if number else never_respond)(number, writer)
 
         async def scenario(server: RawServer, client: DirectClient) -> None:
             first = asyncio.ensure_future(call(client))
@@ -271,11 +273,11 @@
             self.assertEqual(200, (await call(client)).status)
             self.assertEqual(2, server.connections)
 
-        self.serve(answer, scenario)
+        self.run_scenario(answer, scenario)
 
-    def test_nobody_at_an_address_is_told_apart(self) -> None:
+    def test_a_refused_connection_is_reported_as_unreachable(self) -> None:
         async def run() -> None:
-            async with RawServer(answer_well) as server:
+            async with RawServer(respond_well) as server:
                 address = server.address
             client = DirectClient(address=address, max_connections=1)
             for _ in range(2):
