--- a/dalemast/__main__.py
+++ b/dalemast/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m dalemast`` and the ``dalemast`` program."""
+"""Entry point of ``python -m dalemast`` and of the ``dalemast`` program."""
 
 import signal
 import sys
@@ -9,8 +9,8 @@
 def main() -> None:
     """Run the command line and exit with its code."""
     if len(sys.argv) == 2 and sys.argv[1].startswith("fleet-"):
-        # The platform sends SIGHUP whenever settings change, also while the imports below run; the
-        # process reads its settings after them anyway.
+        # The platform sends SIGHUP when settings change. Ignore it during the imports below, where
+        # it would end the process; the settings are read afterwards anyway.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         _run_fleet_role(sys.argv[1])
     from dalemast.management import run_command_line
@@ -19,7 +19,7 @@
 
 
 def _run_fleet_role(name: str) -> None:
-    """Run a role without the command line, whose imports double the time of a start."""
+    """Run a role without importing the command line, which would delay the start."""
     from dalemast.core.exceptions import DalemastError
     from dalemast.fleet.runner import ROLES
 
--- a/dalemast/clock.py
+++ b/dalemast/clock.py
@@ -1,4 +1,4 @@
-"""The steady clock of this host, which also counts the time for which the host was suspended."""
+"""A monotonic clock that includes the time during which the host is suspended."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 def monotonic() -> float:
-    """Return the clock in seconds; only differences mean something.
+    """Return the clock in seconds; only differences between two values are meaningful.
 
-    :func:`time.monotonic` stands still while a host is suspended. Leases, claims and the patience
-    of other processes lapse meanwhile, and a process that goes on has to find that out.
+    :func:`time.monotonic` stops while a host is suspended. Leases, claims and timeouts of other
+    processes expire meanwhile, and a resumed process has to notice that.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/dalemast/observability/__init__.py
+++ b/dalemast/observability/__init__.py
@@ -1,4 +1,4 @@
-"""What a process shows of itself: structured logs, latencies and counters."""
+"""Structured logs, latency histograms and counters of a process."""
 
 from dalemast.observability.logs import LogLevel, log_error, log_event, set_up_logs
 from dalemast.observability.metrics import Metrics
--- a/dalemast/observability/lines.py
+++ b/dalemast/observability/lines.py
@@ -1,4 +1,4 @@
-"""Reads the structured lines that processes write."""
+"""Parse the structured log lines written by processes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Yield the lines that are structured; text before a line's JSON is skipped.
+    """Yield the structured lines; skip any text in front of a line's JSON.
 
-    Logs of several processes may be cut anywhere: what does not parse is no line of ours.
+    Other lines are ignored, since collected logs may contain truncated lines and foreign output.
     """
     for line in lines:
         row = _read_line(line)
--- a/dalemast/observability/logs.py
+++ b/dalemast/observability/logs.py
@@ -1,8 +1,7 @@
-"""Structured logs by eliot: one action a job, nothing secret in them.
+"""Structured logs in eliot's format, with one action per job and no secrets.
 
-Lines to standard output are written in eliot's format without eliot: importing it takes a fifth of
-what a process of the fleet imports before it can serve, and after a loss of power callers wait for
-that. eliot is imported where its actions or other destinations are used.
+Lines to standard output are written without eliot, because importing it delays the start of a
+process. eliot is imported only for its actions and for other destinations.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 
 
 class LogLevel(enum.IntEnum):
-    """How much is logged; each level includes those before it."""
+    """Verbosity of the log; each level includes those before it."""
 
     NONE = 0
     ERRORS = 1
@@ -33,24 +32,24 @@
     level = LogLevel.NONE
     process = ""
     output: BoundedOutput | None = None
-    """Where lines go when standard output takes them."""
-    is_known_to_eliot = False
-    """Whether eliot's actions go to the same output."""
+    """The destination if logs go to standard output, else None."""
+    is_registered_with_eliot = False
+    """Whether ``output`` is also a destination of eliot's actions."""
 
 
-_message_names = itertools.count(1)
-_run_name = secrets.token_hex(8)
+_message_numbers = itertools.count(1)
+_process_id = secrets.token_hex(8)
 
 
 def set_up_logs(*, level: str, destination: str, process: str) -> None:
-    """Send logs of a level to stdout, stderr or a file, marked with the process's name."""
+    """Configure the level, the destination (stdout, stderr or a file) and the process's name."""
     _State.level = LogLevel[level.upper()]
     _State.process = process
     if _State.level is LogLevel.NONE:
         return
     if destination == "stdout":
         _State.output = BoundedOutput(descriptor=sys.stdout.fileno())
-        _State.is_known_to_eliot = False
+        _State.is_registered_with_eliot = False
         atexit.register(_State.output.flush)
         return
     _State.output = None
@@ -61,13 +60,13 @@
 
 
 def log_error(event: str, **fields: object) -> None:
-    """Log something that went wrong."""
+    """Log an error."""
     if _State.level >= LogLevel.ERRORS:
         _write(event, fields)
 
 
 def log_event(event: str, **fields: object) -> None:
-    """Log something that happened to a process: links, configuration, drains."""
+    """Log an event of a process, such as a new link, a configuration or a drain."""
     if _State.level >= LogLevel.ALL:
         _write(event, fields)
 
@@ -84,7 +83,7 @@
     response_ms: float,
     workers: tuple[str, ...] = (),
 ) -> None:
-    """Log a job as one action with a message for each worker that was given part of it."""
+    """Log a job as one action, with a message for each worker that received tasks of it."""
     if _State.level < LogLevel.JOBS:
         return
     with _get_eliot().start_action(
@@ -103,13 +102,13 @@
 
 
 def _write(event: str, fields: dict[str, object]) -> None:
-    """Write one message as eliot does for one that belongs to no action."""
+    """Write a message in the format that eliot uses outside actions."""
     if _State.output is None:
         _get_eliot().log_message(message_type=event, process=_State.process, **fields)
         return
     _State.output(
         {
-            "task_uuid": f"{_run_name}-{next(_message_names)}",
+            "task_uuid": f"{_process_id}-{next(_message_numbers)}",
             "task_level": [1],
             "timestamp": time.time(),
             "message_type": event,
@@ -120,10 +119,10 @@
 
 
 def _get_eliot() -> Any:
-    """Return eliot, with the output of this process among its destinations."""
+    """Import eliot and add this process's output to its destinations."""
     import eliot
 
-    if _State.output is not None and not _State.is_known_to_eliot:
-        _State.is_known_to_eliot = True
+    if _State.output is not None and not _State.is_registered_with_eliot:
+        _State.is_registered_with_eliot = True
         eliot.add_destinations(_State.output)
     return eliot
--- a/dalemast/observability/metrics.py
+++ b/dalemast/observability/metrics.py
@@ -1,4 +1,4 @@
-"""Latencies by hdrhistogram and counters by kind."""
+"""Counters and latency histograms of a process."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
 
 __all__ = ["HistogramSummary", "Metrics", "MetricsDump"]
 
+# Bounds of the recorded latencies, in microseconds.
 LOWEST_US = 1
 HIGHEST_US = 600_000_000
 SIGNIFICANT_DIGITS = 2
@@ -19,7 +20,7 @@
 
 
 class HistogramSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """One latency distribution, in milliseconds."""
+    """Latency distribution of one stage and account, in milliseconds."""
 
     stage: str
     account: str
@@ -30,7 +31,7 @@
 
 
 class MetricsDump(msgspec.Struct, frozen=True, kw_only=True):
-    """All metrics of a process. Times are seconds, memory bytes."""
+    """All metrics of a process."""
 
     uptime_s: float
     processor_s: float
@@ -48,11 +49,11 @@
         self._started_at = clock.monotonic()
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         self._counters[name] += amount
 
     def get_count(self, name: str) -> int:
-        """Return a counter."""
+        """Return the value of a counter."""
         return self._counters[name]
 
     def record(self, stage: str, account: str, seconds: float) -> None:
@@ -65,7 +66,7 @@
         histogram.record_value(min(max(int(seconds * 1e6), LOWEST_US), HIGHEST_US))
 
     def dump(self) -> MetricsDump:
-        """Return everything."""
+        """Return the current values of all metrics."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return MetricsDump(
             uptime_s=round(clock.monotonic() - self._started_at, 3),
--- a/dalemast/observability/output.py
+++ b/dalemast/observability/output.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output, bounded and never waited for."""
+"""Non-blocking log output with a bounded queue."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 __all__ = ["BoundedOutput"]
 
-MAX_WAITING_LINES = 2000
-"""Lines kept while the reader is slow, about 600 KB; further ones are counted and dropped."""
-FLUSH_PAUSE_S = 0.2
-"""Lines are written together this often, since a write costs the same whatever it holds."""
+MAX_QUEUED_LINES = 2000
+"""Lines queued while the reader is slow; further lines are dropped and counted."""
+FLUSH_INTERVAL_S = 0.2
+"""Interval at which queued lines are written together, to save system calls."""
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class BoundedOutput:
-    """A destination of log messages that a thread of its own writes to a descriptor."""
+    """A log destination that writes to a file descriptor from a separate thread."""
 
     def __init__(self, *, descriptor: int) -> None:
         self._descriptor = descriptor
@@ -31,25 +31,25 @@
         self._thread.start()
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take a message."""
-        if len(self._lines) >= MAX_WAITING_LINES:
+        """Queue a message, or drop it if the queue is full."""
+        if len(self._lines) >= MAX_QUEUED_LINES:
             self._dropped += 1
             return
         self._lines.append(_encoder.encode(message))
         self._wake.set()
 
     def flush(self) -> None:
-        """Write what waits, at the end of the process."""
-        self._write_waiting()
+        """Write the queued lines, when the process exits."""
+        self._write_queued()
 
     def _run(self) -> None:
         while True:
             self._wake.wait()
             self._wake.clear()
-            self._write_waiting()
-            threading.Event().wait(FLUSH_PAUSE_S)
+            self._write_queued()
+            threading.Event().wait(FLUSH_INTERVAL_S)
 
-    def _write_waiting(self) -> None:
+    def _write_queued(self) -> None:
         lines = [self._lines.popleft() for _ in range(len(self._lines))]
         dropped, self._dropped = self._dropped, 0
         if dropped:
@@ -59,7 +59,7 @@
             try:
                 data = data[os.write(self._descriptor, data) :]
             except BlockingIOError:
-                threading.Event().wait(FLUSH_PAUSE_S)
+                threading.Event().wait(FLUSH_INTERVAL_S)
             except OSError:
-                # Nobody reads the logs any more, and there is no other place to say so.
+                # The reader is gone, so the error cannot be logged either.
                 return
--- a/dalemast/process.py
+++ b/dalemast/process.py
@@ -1,4 +1,4 @@
-"""What every long-running process does: start, serve until told to stop, drain, end."""
+"""Base of all long-running processes: start, serve until a signal, drain and close."""
 
 from __future__ import annotations
 
@@ -18,50 +18,50 @@
 __all__ = ["BaseProcess", "make_incarnation", "run_process"]
 
 INCARNATION_BYTES = 6
-GARBAGE_THRESHOLDS = (20_000, 20, 50)
+GC_THRESHOLDS = (20_000, 20, 50)
 
 
 def make_incarnation() -> str:
-    """Return a fresh random name for one start of a process."""
+    """Return a random identifier for one run of a process."""
     return secrets.token_hex(INCARNATION_BYTES)
 
 
 class BaseProcess(abc.ABC):
-    """A role of the system in one event loop."""
+    """A process of one role, running in one event loop."""
 
     @abc.abstractmethod
     async def start(self) -> None:
-        """Listen and begin to work."""
+        """Start listening and working."""
 
     @abc.abstractmethod
     async def drain(self) -> None:
-        """Refuse new work and finish what runs, within the limit of the settings."""
+        """Refuse new work and finish running work, within the drain limit of the settings."""
 
     @abc.abstractmethod
     def get_unfinished(self) -> list[str]:
-        """Return what would be cut off by ending now."""
+        """Describe the work that would be interrupted by closing now."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Close every socket and end every task."""
+        """Close all sockets and cancel all tasks."""
 
     def reload(self, settings: Any) -> None:
-        """Take settings that were read anew on SIGHUP; by default they wait for the next start."""
+        """Apply settings that were reloaded on SIGHUP; by default they are ignored."""
         log_event("process:reload-ignored")
 
 
-def _calm_garbage_collector() -> None:
-    """Leave what lives as long as the process out of collections, and collect less often.
+def _tune_garbage_collector() -> None:
+    """Exclude long-lived objects from garbage collection, and collect less often.
 
-    A full collection stops the loop for milliseconds, which is a task's whole allowance.
+    A full collection blocks the event loop for milliseconds, which delays short tasks.
     """
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*GARBAGE_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def _reload(process: BaseProcess, load_settings: Callable[[], Any] | None) -> None:
-    """Read the settings anew; a file that is not good leaves the old ones in force."""
+    """Reload the settings; keep the current ones if the file is invalid."""
     if load_settings is None:
         return
     try:
@@ -74,40 +74,41 @@
     make_process: Callable[[], BaseProcess], load_settings: Callable[[], Any] | None
 ) -> int:
     process = make_process()
-    _calm_garbage_collector()
+    _tune_garbage_collector()
     loop = asyncio.get_running_loop()
-    first = asyncio.Event()
-    second = asyncio.Event()
+    stop_requested = asyncio.Event()
+    abort_requested = asyncio.Event()
 
     def stop() -> None:
-        (second if first.is_set() else first).set()
+        (abort_requested if stop_requested.is_set() else stop_requested).set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop)
     loop.add_signal_handler(signal.SIGHUP, _reload, process, load_settings)
     await process.start()
-    await first.wait()
+    await stop_requested.wait()
     draining = asyncio.ensure_future(process.drain())
-    impatient = asyncio.ensure_future(second.wait())
-    await asyncio.wait({draining, impatient}, return_when=asyncio.FIRST_COMPLETED)
+    second_signal = asyncio.ensure_future(abort_requested.wait())
+    await asyncio.wait({draining, second_signal}, return_when=asyncio.FIRST_COMPLETED)
     if not draining.done():
         draining.cancel()
-    impatient.cancel()
+    second_signal.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await draining
-    cut_off = process.get_unfinished()
+    unfinished = process.get_unfinished()
     await process.close()
-    for item in cut_off:
-        print(f"cut off: {item}", file=sys.stderr)
-    return 1 if cut_off else 0
+    for item in unfinished:
+        print(f"interrupted: {item}", file=sys.stderr)
+    return 1 if unfinished else 0
 
 
 def run_process(
     make_process: Callable[[], BaseProcess], *, load_settings: Callable[[], Any] | None = None
 ) -> int:
-    """Run a process until it is told to stop; return its exit code.
+    """Run a process until SIGTERM or SIGINT and return its exit code.
 
-    The process is made inside its event loop, since its sockets belong to that loop.
-    ``load_settings`` reads them anew on SIGHUP.
+    The first signal drains the process, a second one ends the drain early. The process is created
+    inside its event loop because its sockets belong to that loop. ``load_settings`` reloads the
+    settings on SIGHUP.
     """
     return asyncio.run(_serve(make_process, load_settings))
--- a/dalemast/settings/__init__.py
+++ b/dalemast/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of each process, read from YAML and checked before anything starts."""
+"""Settings of each process, read from YAML and checked before the process starts."""
 
 from dalemast.settings.base import (
     AgentSettings,
--- a/dalemast/settings/base.py
+++ b/dalemast/settings/base.py
@@ -1,4 +1,4 @@
-"""The settings of each role. Every value has a default that works on one machine."""
+"""The settings of each role. The defaults work for all processes on one machine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all settings: frozen, keyword-only, and strict about unknown keys."""
+    """Base of all settings: immutable, keyword-only, and without unknown keys."""
 
 
 class TlsSettings(Settings, frozen=True, kw_only=True):
@@ -31,21 +31,21 @@
 
 
 class ListenerSettings(Settings, frozen=True, kw_only=True):
-    """Where a process listens: an IP number and a port; port 0 lets the system choose."""
+    """Where a process listens: an IP address and a port, which the system chooses if it is 0."""
 
     address: str
     tls: TlsSettings | None = None
 
 
 class SecretSettings(Settings, frozen=True, kw_only=True):
-    """Where a secret comes from: a file or an environment variable, never the settings."""
+    """Source of a secret: a file or an environment variable, never the settings themselves."""
 
     file: str = ""
     environment: str = ""
 
 
 class PlatformSettings(Settings, frozen=True, kw_only=True):
-    """How the platform is reached. ``backend`` is the dotted path of a BasePlatform class."""
+    """How to reach the platform. ``backend`` is the dotted path of a BasePlatform class."""
 
     backend: str = "dalemast.hosting.http.HttpPlatform"
     url: str = "http://127.0.0.1:8790"
@@ -59,7 +59,7 @@
 
 
 class PolicySettings(Settings, frozen=True, kw_only=True):
-    """The owner's choices; see docs/topics/policies.md."""
+    """Placement and admission policies of the owner of a job; see docs/topics/policies.md."""
 
     placement: str = "packing"
     admission: str = "deadline"
@@ -71,7 +71,10 @@
 
 
 class EmulationSettings(Settings, frozen=True, kw_only=True):
-    """Delays added one way to messages between processes, for experiments, in milliseconds."""
+    """One-way delays in milliseconds added to messages between processes, for experiments.
+
+    ``near_ms`` applies within a data centre, ``far_ms`` between data centres.
+    """
 
     near_ms: float = 0.0
     far_ms: float = 0.0
@@ -80,8 +83,8 @@
 class EntrySettings(Settings, frozen=True, kw_only=True):
     """Settings of ``dalemast entry``.
 
-    ``peers`` are operators' addresses of other entries, besides those in the host list. Times end
-    in their unit. ``max_links_per_worker`` bounds how many entries connect to one worker.
+    ``peers`` are operators' addresses of other entries, in addition to those in the host list.
+    ``max_links_per_worker`` limits how many entries connect to one worker.
     """
 
     name: str = "entry-1"
@@ -107,7 +110,7 @@
 
 
 class AgentSettings(Settings, frozen=True, kw_only=True):
-    """Settings of ``dalemast agent``. ``link`` is where entries connect."""
+    """Settings of ``dalemast agent``. ``link`` is the listener for entries."""
 
     name: str = "endpoint-1"
     worker: str = "worker-1"
--- a/dalemast/settings/checks.py
+++ b/dalemast/settings/checks.py
@@ -1,4 +1,4 @@
-"""System checks: what a settings file says that cannot work, with an id, a message and a hint."""
+"""System checks of settings: each finding has an id, a message and a hint."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 _ADDRESS = re.compile(r"(?:\d{1,3}(?:\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):(\d{1,5})\Z")
 LOG_LEVELS = ("none", "errors", "jobs", "all")
-SHORTEST_LEASE_S = 0.2
-"""Below it a lease would lapse between two looks of an agent that is slowed."""
+MIN_LEASE_S = 0.2
+"""A shorter lease could expire between two polls of a slow agent."""
 WORKER_CONNECTIONS = 64
-"""Connections that the platform gives a worker."""
+"""The platform's limit of connections to a worker."""
 
 
 class CheckLevel(enum.Enum):
-    """How bad a finding is; an error keeps the process from starting."""
+    """Severity of a finding; an error prevents the process from starting."""
 
     WARNING = "warning"
     ERROR = "error"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CheckMessage:
-    """One finding."""
+    """A finding of a check."""
 
     id: str
     level: CheckLevel
@@ -52,7 +52,7 @@
 
 
 def run_checks(settings: Settings) -> list[CheckMessage]:
-    """Return every finding about the settings of one role."""
+    """Run all checks on the settings of one role and return the findings."""
     return [message for check in _CHECKS for message in check(settings)]
 
 
@@ -91,23 +91,30 @@
             yield _error(
                 1,
                 f"{place}.address",
-                f"{listener.address!r} is not an IP number and a port",
+                f"{listener.address!r} is not an IP address and a port",
                 "write it as 10.0.0.1:8700",
             )
         elif listener.address in seen and not listener.address.endswith(":0"):
-            yield _error(2, f"{place}.address", "the address stands twice", "use another port")
+            yield _error(
+                2,
+                f"{place}.address",
+                f"{listener.address} is used by another listener",
+                "use another port",
+            )
         seen.add(listener.address)
         if listener.tls is None:
             continue
         for name, file in (("certificate", listener.tls.certificate), ("key", listener.tls.key)):
             if not Path(file).is_file():
-                yield _error(3, f"{place}.tls.{name}", f"no file {file!r}", "name a PEM file")
+                yield _error(
+                    3, f"{place}.tls.{name}", f"there is no file {file!r}", "name a PEM file"
+                )
 
 
 def _check_log(settings: Settings) -> Iterator[CheckMessage]:
     log = getattr(settings, "log", None)
     if isinstance(log, LogSettings) and log.level not in LOG_LEVELS:
-        yield _error(4, "$.log.level", f"no level {log.level!r}", f"one of {LOG_LEVELS}")
+        yield _error(4, "$.log.level", f"unknown level {log.level!r}", f"use one of {LOG_LEVELS}")
 
 
 def _check_entry(settings: Settings) -> Iterator[CheckMessage]:
@@ -117,22 +124,30 @@
     placements = ("packing", "spreading", "random", "round-robin", "stale-shortest-queue")
     if policy.placement not in placements:
         yield _error(
-            5, "$.policy.placement", f"no policy {policy.placement!r}", f"one of {placements}"
+            5,
+            "$.policy.placement",
+            f"unknown policy {policy.placement!r}",
+            f"use one of {placements}",
         )
     if policy.admission not in ("deadline", "open"):
-        yield _error(6, "$.policy.admission", f"no policy {policy.admission!r}", "deadline or open")
+        yield _error(
+            6,
+            "$.policy.admission",
+            f"unknown policy {policy.admission!r}",
+            "use deadline or open",
+        )
     if settings.ticket_life_s <= 0:
-        yield _error(7, "$.ticket_life_s", "a life is above 0 s", "600 is a good start")
+        yield _error(7, "$.ticket_life_s", "the life of a ticket must be above 0 s", "use 600")
     if settings.poll_interval_s > 5:
         yield _warning(
             1,
             "$.poll_interval_s",
-            "configuration may take longer than 15 s to be in force",
+            "a configuration change may take longer than 15 s to be in force",
             "poll at least every 5 s",
         )
     if settings.callers.tls is None and not settings.callers.address.startswith("127."):
         yield _warning(
-            2, "$.callers.tls", "tokens travel in the open", "set a certificate and a key"
+            2, "$.callers.tls", "tokens are sent unencrypted", "set a certificate and a key"
         )
 
 
@@ -140,18 +155,18 @@
     if not isinstance(settings, AgentSettings):
         return
     if settings.slots < 1:
-        yield _error(8, "$.slots", "an endpoint has at least one slot", "8 is usual")
+        yield _error(8, "$.slots", "an endpoint must have at least one slot", "use 8")
     if settings.queue_limit < 0:
-        yield _error(9, "$.queue_limit", "a queue is not shorter than 0", "0 queues nothing")
+        yield _error(9, "$.queue_limit", "the limit must not be negative", "use 0 for no queue")
     if settings.slots + settings.max_links > WORKER_CONNECTIONS:
         yield _warning(
             3,
             "$.max_links",
             f"slots and links exceed the {WORKER_CONNECTIONS} connections of a worker",
-            f"keep max_links at most {WORKER_CONNECTIONS} less the slots",
+            f"set max_links to at most {WORKER_CONNECTIONS} minus the slots",
         )
     if not settings.endpoint_url.startswith(("http://", "https://")):
-        yield _error(10, "$.endpoint_url", "not an HTTP URL", "http://127.0.0.1:8720/")
+        yield _error(10, "$.endpoint_url", "not an HTTP URL", "write it as http://127.0.0.1:8720/")
 
 
 def _check_secrets(settings: Settings) -> Iterator[CheckMessage]:
@@ -160,7 +175,10 @@
     key = settings.system_key
     if not key.file and not key.environment:
         yield _error(
-            11, "$.system_key", "the system's key has no source", "name a file or a variable"
+            11,
+            "$.system_key",
+            "the system key has no source",
+            "name a file or an environment variable",
         )
     token = settings.operators_token
     is_local = settings.operators.address.startswith("127.")
@@ -168,8 +186,8 @@
         yield _error(
             12,
             "$.operators_token",
-            "operators need no token on an address that others reach",
-            "name a file or a variable",
+            "the operators' address is not local and requires no token",
+            "name a file or an environment variable",
         )
 
 
@@ -185,7 +203,7 @@
             yield _error(
                 14,
                 f"$.{place}",
-                f"{address!r} is not an IP number and a port",
+                f"{address!r} is not an IP address and a port",
                 "write it as 10.0.0.1:8700",
             )
     times = FleetTimes.fit(
@@ -195,13 +213,13 @@
     )
     if isinstance(settings, FleetAgentSettings):
         yield from _check_link_bounds(settings)
-    if times.lease_s < SHORTEST_LEASE_S or times.lost_run_s >= settings.resend_ms / 1000:
+    if times.lease_s < MIN_LEASE_S or times.lost_run_s >= settings.resend_ms / 1000:
         yield _error(
             15,
             "$.resend_ms",
-            f"runs of a lost owner end after {times.lost_run_s:.2f} s at the soonest, and a caller "
-            f"may submit again after {settings.resend_ms / 1000:.2f} s",
-            "the time until a caller submits again must leave room for leases of 0.2 s",
+            f"runs of a lost owner end after {times.lost_run_s:.2f} s at the earliest, but a "
+            f"caller may resubmit its job after {settings.resend_ms / 1000:.2f} s",
+            "increase resend_ms so that leases of 0.2 s expire before a caller resubmits",
         )
 
 
@@ -211,14 +229,14 @@
             yield _error(
                 16,
                 f"$.{name}",
-                "an agent without links to some entries gets no tasks of theirs",
-                "1 or more; 12 and 4 link every agent to all entries of a system of 16",
+                "an agent without links to some entries gets no tasks from them",
+                "use 1 or more; 12 and 4 link every agent to all entries of a system of 16",
             )
 
 
 def _check_platform_server(settings: Settings) -> Iterator[CheckMessage]:
     if isinstance(settings, PlatformServerSettings) and settings.writes_per_s < 0:
-        yield _error(13, "$.writes_per_s", "a rate is not below 0", "0 sets no limit")
+        yield _error(13, "$.writes_per_s", "the rate must not be negative", "use 0 for no limit")
 
 
 _CHECKS: tuple[Callable[[Settings], Iterator[CheckMessage]], ...] = (
--- a/dalemast/settings/exceptions.py
+++ b/dalemast/settings/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of settings."""
+"""Errors in settings files and secrets."""
 
 from dalemast.core.exceptions import DalemastError
 
@@ -14,7 +14,7 @@
 
 
 class SecretMissing(DalemastError):
-    """A secret is named by a file or variable that cannot be read."""
+    """The file or environment variable of a secret cannot be read."""
 
     code = "E1802"
     status = 400
@@ -22,7 +22,7 @@
 
 
 class SettingsFailCheck(DalemastError):
-    """The settings parse, but a system check says that they cannot work."""
+    """The settings are valid, but a system check reports an error."""
 
     code = "E1803"
     status = 400
--- a/dalemast/settings/fleet.py
+++ b/dalemast/settings/fleet.py
@@ -15,13 +15,13 @@
 
 
 class AddressSettings(Settings, frozen=True, kw_only=True):
-    """Where another process listens: an IP number and a port."""
+    """Address of another process: an IP address and a port."""
 
     address: str
 
 
 class BackendSettings(Settings, frozen=True, kw_only=True):
-    """Dotted paths of the classes that speak to the platform; see dalemast/fleet/base.py."""
+    """Dotted paths of the platform's backend classes; see dalemast/fleet/base.py."""
 
     store: str = "dalemast.platform.PlatformStore"
     ingress: str = "dalemast.platform.PlatformIngress"
@@ -30,14 +30,14 @@
 
 
 class LoadSettings(Settings, frozen=True, kw_only=True):
-    """Decisions under load that a deployment asks for; docs/design/hard-load.md tells of each.
-
-    ``shares_demand``: entries tell one another what waits, and agents when room comes free.
-    ``forecasts``: a job that can't begin in time is refused as it arrives. ``preempts``: more
-    urgent queues take room from less urgent ones, by the priorities of the configuration.
-    ``learns_speeds``: agents keep how fast their worker is, and slow ones serve what has slack.
-    ``balances``: whole jobs go to the data centre where they begin soonest. ``plans_departures``:
-    what a leaving worker can't end is moved before it is lost.
+    """Optional scheduling features for high load; see docs/design/hard-load.md.
+
+    ``shares_demand``: entries report their queued work to each other, and agents report when
+    capacity is expected to become free. ``forecasts``: a job that cannot start in time is refused
+    on arrival. ``preempts``: queues of higher priority in the configuration preempt runs of lower
+    priority. ``learns_speeds``: agents record the speed of their worker, and slow workers get jobs
+    that have time to spare. ``balances``: a whole job goes to the data centre where it can start
+    soonest. ``plans_departures``: runs that a leaving worker cannot finish are moved in time.
     """
 
     shares_demand: bool = False
@@ -49,14 +49,15 @@
 
 
 class FleetSettings(Settings, frozen=True, kw_only=True):
-    """What both roles have.
-
-    ``seeds`` are link addresses of some entries; any of them may be gone. ``resend_ms`` is the
-    soonest that a caller that lost its connection submits its job again, ``lease_max_ms`` the
-    longest lease of a worker, and ``stop_ms`` the longest time that a stop takes; all three are the
-    platform's. ``grace_s`` is the time between SIGTERM and SIGKILL. ``data_centres`` are those of
-    the deployment with their regions; what names another is passed over, unless none is given.
-    ``load`` says which decisions under load the deployment asks for.
+    """Settings that both roles have.
+
+    ``seeds`` are link addresses of some entries, not all of which need to be running. ``resend_ms``
+    is the earliest time after which a caller that lost its connection resubmits its job,
+    ``lease_max_ms`` the longest lease of a worker, and ``stop_ms`` the longest time that a stop
+    takes; the platform defines all three. ``grace_s`` is the time between SIGTERM and SIGKILL.
+    ``data_centres`` maps the deployment's data centres to their regions; data of any other data
+    centre is ignored, unless the mapping is empty. ``load`` enables scheduling features for high
+    load.
     """
 
     name: str
@@ -77,13 +78,13 @@
 class FleetEntrySettings(FleetSettings, frozen=True, kw_only=True):
     """Settings of ``dalemast fleet-entry``.
 
-    ``callers``, ``readiness`` and ``links`` are where callers, the platform's balancer, and agents
-    and other entries connect. ``remote_factor`` is how many times as long a task takes on a rack
-    that does not hold its data. ``far_penalty`` is what bytes between data centres cost, as the
-    share of a task's run time that another data centre must gain to be chosen. ``order`` is the
-    dotted path of the class that says which of the waiting jobs goes first; see
+    ``callers``, ``readiness`` and ``links`` are the listeners for callers, for the platform's load
+    balancer, and for agents and other entries. ``remote_factor`` is the factor by which a task
+    takes longer on a rack that does not hold its data. ``far_penalty`` is the cost of traffic
+    between data centres: the share of a task's run time that must be saved for another data centre
+    to be chosen. ``order`` is the dotted path of the class that orders waiting jobs; see
     dalemast/core/scheduling/orders.py. ``advertised`` is the address at which others reach
-    ``links`` when it is not the listener's own, as behind a proxy.
+    ``links`` if it differs from the listener's address, as behind a proxy.
     """
 
     callers: ListenerSettings
@@ -98,9 +99,10 @@
 class FleetAgentSettings(FleetSettings, frozen=True, kw_only=True):
     """Settings of ``dalemast fleet-agent``.
 
-    ``registration`` is where the worker on this host reports, ``worker`` where it takes calls.
-    ``max_near_links`` and ``max_far_links`` bound the entries that the worker is offered to, in the
-    agent's own data centre and elsewhere, once there are more than both together.
+    ``registration`` is the listener for the worker's heartbeats, ``worker`` the address at which
+    the worker accepts calls. ``max_near_links`` and ``max_far_links`` limit the number of entries
+    to which the worker is offered, in the agent's own data centre and in others. They apply when
+    there are more entries than both limits together.
     """
 
     registration: ListenerSettings
--- a/dalemast/settings/loader.py
+++ b/dalemast/settings/loader.py
@@ -1,4 +1,4 @@
-"""Read YAML into settings, with the place of each error."""
+"""Load settings from YAML and report the place of each error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def load_document(file: str) -> Any:
-    """Read a YAML file into plain values; raises :class:`SettingsInvalid`."""
+    """Read a YAML file into plain values; raise :class:`SettingsInvalid` on failure."""
     path = Path(file)
     try:
         if path.stat().st_size > MAX_FILE_BYTES:
@@ -36,29 +36,28 @@
 
 
 def _parse_flow(text: str) -> Any:
-    """Return a document that is written as one flow mapping of JSON, or None.
+    """Parse a document that is plain JSON, which is valid YAML; return None for any other.
 
-    Such a document is YAML too. The templates of the fleet's roles are written so, since importing
-    a YAML parser takes a twelfth of what a process imports before it can serve. A key that stands
-    twice is left to the YAML parser, which refuses it.
+    The templates of the fleet's roles are JSON, which avoids importing a YAML parser when a process
+    starts. A document with duplicate keys is left to the YAML parser, which rejects it.
     """
     keys: list[str] = []
 
-    def take(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def collect_pairs(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         names = [name for name, _ in pairs]
         keys.extend(name for name in set(names) if names.count(name) > 1)
         return dict(pairs)
 
     try:
-        document = json.loads(text, object_pairs_hook=take)
+        document = json.loads(text, object_pairs_hook=collect_pairs)
     except ValueError:
-        # Block style, comments, or an error that the YAML parser will name with its place.
+        # Not JSON. The YAML parser reads the document or reports the place of the error.
         return None
     return None if keys else document
 
 
 def parse_settings(values: object, settings_type: type[SettingsT], *, file: str) -> SettingsT:
-    """Turn plain values into settings; raises :class:`SettingsInvalid` with the key's place."""
+    """Convert plain values to settings; raise :class:`SettingsInvalid` with the key's place."""
     try:
         return msgspec.convert({} if values is None else values, type=settings_type)
     except msgspec.ValidationError as error:
@@ -72,9 +71,9 @@
 
 
 def read_secret(*, file: str, environment: str, name: str) -> str:
-    """Return a secret from its file or environment variable; an unnamed secret is empty.
+    """Return a secret from its file or environment variable, or "" if neither is given.
 
-    Raises :class:`SecretMissing` when one is named and cannot be had. The error never holds it.
+    Raise :class:`SecretMissing` if the source cannot be read. The error never contains the secret.
     """
     if file:
         try:
--- a/dalemast/settings/roles.py
+++ b/dalemast/settings/roles.py
@@ -1,4 +1,4 @@
-"""Loading the settings of one role, with the checks that must pass before it starts."""
+"""Load the settings of a role and run the checks that must pass before it starts."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def load_role(file: str, settings_type: type[SettingsT]) -> SettingsT:
-    """Load the settings of a role and run the checks; findings go to stderr.
+    """Load the settings of a role, run the checks and print the findings to stderr.
 
-    Raises :class:`SettingsInvalid` or :class:`SettingsFailCheck`.
+    Raise :class:`SettingsInvalid` or :class:`SettingsFailCheck`.
     """
     settings = load_settings(file, settings_type) if file else settings_type()
     findings = run_checks(settings)  # type: ignore[arg-type]
--- a/dalemast/settings/strict_yaml.py
+++ b/dalemast/settings/strict_yaml.py
@@ -1,4 +1,4 @@
-"""YAML, read strictly. Imported where a file is not plain JSON."""
+"""Strict YAML parsing, imported only for files that are not plain JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class _StrictLoader(yaml.SafeLoader):
-    """Refuses a key that stands twice, which YAML itself lets pass."""
+    """Rejects duplicate keys, which PyYAML accepts."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> Any:
         seen: set[object] = set()
@@ -20,14 +20,14 @@
             key = self.construct_object(key_node, deep=deep)
             if key in seen:
                 raise yaml.constructor.ConstructorError(
-                    None, None, f"the key {key!r} stands twice", key_node.start_mark
+                    None, None, f"the key {key!r} appears twice", key_node.start_mark
                 )
             seen.add(key)
         return super().construct_mapping(node, deep=deep)
 
 
 def parse_yaml(text: str, *, file: str) -> Any:
-    """Return a document's plain values; raises :class:`SettingsInvalid` with the place."""
+    """Parse a document into plain values; raise :class:`SettingsInvalid` with the place."""
     try:
         return yaml.load(text, Loader=_StrictLoader)
     except yaml.MarkedYAMLError as error:
--- a/tests/management/test_command_line.py
+++ b/tests/management/test_command_line.py
@@ -31,13 +31,13 @@
         self.err = err.getvalue()
 
 
-# text of the file, exit code, what the output must contain
+# content of the file, exit code, expected part of the output
 CHECKED_FILES = [
     ("name: entry-7\ndata_centre: waco\npolicy: {placement: packing}\n", 0, "good (entry)"),
     ("worker: w\nslots: 4\nendpoint_url: http://127.0.0.1:1/\n", 0, "good (agent)"),
     ("accounts:\n  - name: a\n", 0, "good (accounts)"),
     ("name: [\n", 2, "E1801"),
-    ("name: a\nname: b\n", 2, "stands twice"),
+    ("name: a\nname: b\n", 2, "appears twice"),
     ("name: a\nplacement: packing\npeers: []\n", 2, "unknown field"),
     ("name: 5\npeers: []\n", 2, "$.name"),
     ("peers: []\ncallers: {address: localhost}\n", 2, "dalemast.E001"),
--- a/tests/observability/test_logs.py
+++ b/tests/observability/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs are structured, one action a job, and hold no token."""
+"""Logs are structured, have one action per job and contain no tokens."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class StandardOutputTests(testtools.TestCase):
-    """Lines that are written without eliot read like eliot's."""
+    """Lines written without eliot have eliot's format."""
 
     def run_program(self, program: str) -> list[dict[str, Any]]:
         ended = subprocess.run(
--- a/tests/observability/test_losses.py
+++ b/tests/observability/test_losses.py
@@ -1,4 +1,4 @@
-"""Where jobs were lost, as log lines tell."""
+"""The cause of each lost or late job is found from the log lines."""
 
 from __future__ import annotations
 
@@ -26,26 +26,26 @@
     def test_a_job_within_its_objective_is_no_loss(self) -> None:
         self.assertEqual("", self.find_cause(**ENDED))
 
-    def test_each_loss_is_told_by_its_cause(self) -> None:
+    def test_each_loss_has_its_cause(self) -> None:
         late = {**ENDED, "took_s": 1.5, "runs": 2, "tasks": 2}
         cases = [
-            ("late: began in time, ran long", {**late, "waited_s": 0.1}),
-            ("late: waited for room", {**late, "waited_s": 0.4}),
+            ("late: started in time, ran too long", {**late, "waited_s": 0.1}),
+            ("late: waited for capacity", {**late, "waited_s": 0.4}),
             ("late: a task ran again", {**late, "runs": 3}),
-            ("late: its tasks began one after another", {**late, "spread_s": 0.3}),
+            ("late: its tasks started one after another", {**late, "spread_s": 0.3}),
             ("failed: failed", {**ENDED, "state": "failed"}),
             ("refused: all workers full", {**REFUSED, "free_cpu": 1999}),
             (
-                "refused: room only on a worker that is distrusted as slow",
+                "refused: capacity only on workers that may be too slow",
                 {**REFUSED, "free_cpu": 2000},
             ),
             (
-                "refused: room on a worker that is left out: label, too_slow",
+                "refused: capacity only on excluded workers: label, too_slow",
                 {**REFUSED, "free_cpu": 0, "left_out": {"no_room": 5, "label": 1, "too_slow": 2}},
             ),
             ("refused: no-workers", {**REFUSED, "cause": "no-workers"}),
             (
-                "given up: caller hung up",
+                "dropped: caller hung up",
                 {"message_type": "job:dropped", "cause": "caller hung up"},
             ),
         ]
@@ -55,7 +55,7 @@
     def test_losses_are_counted_by_second_and_data_centre(self) -> None:
         lines = [
             make_line(0.0, message_type="process:started", data_centre="austin"),
-            "what no process of ours wrote {",
+            "a line of another program {",
             make_line(2.5, **REFUSED, free_cpu=0, view_age_s=0.1),
             make_line(2.9, **REFUSED, free_cpu=0),
         ]
--- a/tests/observability/test_refusals.py
+++ b/tests/observability/test_refusals.py
@@ -1,4 +1,4 @@
-"""What is not used has a line for each writer and reason, and no flood of them."""
+"""Refusals are logged for each writer and reason without flooding the log."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from dalemast.observability import Metrics, RefusalLog
 from dalemast.observability.refusals import (
     LINES_PER_MINUTE,
-    MAX_TEXT,
+    MAX_TEXT_LENGTH,
     MAX_WRITERS,
-    REPEAT_S,
+    REPEAT_INTERVAL_S,
 )
 
 
@@ -40,17 +40,17 @@
         self.assertEqual(3, self.metrics.get_count("row.foreign.unreadable"))
         self.assertEqual(1, self.metrics.get_count("row.foreign.field-missing"))
 
-    def test_a_writer_has_one_line_a_reason_until_a_while_has_passed(self) -> None:
+    def test_a_writer_and_reason_are_logged_once_per_interval(self) -> None:
         for _ in range(50):
             self.note()
         self.note(reason="field-missing")
         self.assertEqual(["unreadable", "field-missing"], [row["reason"] for row in self.lines])
-        self.now = REPEAT_S
+        self.now = REPEAT_INTERVAL_S
         self.note()
         self.assertEqual(49, self.lines[-1]["repeats"])
         self.assertEqual("t", self.lines[-1]["table"])
 
-    def test_writers_without_end_have_few_lines_and_little_memory(self) -> None:
+    def test_many_writers_cause_a_limited_number_of_lines_and_records(self) -> None:
         for number in range(10 * MAX_WRITERS):
             self.now = number * 0.1
             self.note(writer=f"w{number}")
@@ -59,10 +59,11 @@
         logged = len(self.lines) + sum(row["unlogged"] for row in self.lines)
         self.assertTrue(logged <= 10 * MAX_WRITERS)
         self.assertTrue(len(self.log._logged_at) <= MAX_WRITERS)
-        self.assertTrue(len(self.log._since) <= MAX_WRITERS)
+        self.assertTrue(len(self.log._repeats) <= MAX_WRITERS)
 
-    def test_long_texts_are_cut(self) -> None:
+    def test_long_texts_are_truncated(self) -> None:
         self.note(writer="w" * 10_000, detail="d" * 10_000)
         self.assertEqual(
-            (MAX_TEXT, MAX_TEXT), tuple(len(self.lines[0][n]) for n in ("writer", "detail"))
+            (MAX_TEXT_LENGTH, MAX_TEXT_LENGTH),
+            tuple(len(self.lines[0][n]) for n in ("writer", "detail")),
         )
