--- a/dalemast/callers/__init__.py
+++ b/dalemast/callers/__init__.py
@@ -1,4 +1,4 @@
-"""A small caller: tickets, resubmission under the same ticket, and waiting when told to."""
+"""A client for callers that uses tickets and resubmits with the same ticket."""
 
 from dalemast.callers.client import Caller, CallerAnswer, NoAnswer
 
--- a/dalemast/callers/client.py
+++ b/dalemast/callers/client.py
@@ -1,8 +1,8 @@
-"""The Python caller.
+"""A Python client for callers.
 
-It keeps the ticket that came with the last answer, so that a job is one request and one answer.
-When a connection breaks it sends the same ticket again, to the next address, which can never start
-the job a second time.
+Each response contains the ticket for the next job, so a job takes one request. If a connection is
+lost, the client resubmits with the same ticket to the next address, which never starts the job a
+second time.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 
 __all__ = ["Caller", "CallerAnswer", "NoAnswer"]
 
-MAX_SENDS = 4
-PAUSE_S = 0.2
+MAX_ATTEMPTS = 4
+RETRY_DELAY_S = 0.2
 DEFAULT_TIMEOUT_S = 150.0
 
 
 class NoAnswer(DalemastError):
-    """No entry answered, however often the submission was sent."""
+    """No entry responded to any attempt to submit the job."""
 
     code = "E1961"
     status = 504
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallerAnswer:
-    """What came of a job. ``elapsed_s`` is from the first send to the answer, in seconds."""
+    """Result of a job. ``elapsed_s`` is the time from the first attempt to the response."""
 
     status: int
     body: dict[str, Any]
@@ -47,15 +47,15 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether the job has all its answers."""
+        """Whether all tasks of the job succeeded."""
         return self.body.get("outcome") == "complete"
 
 
 class Caller:
-    """Submits jobs of one account over kept connections.
+    """Submits jobs of one account over persistent connections.
 
-    ``addresses`` are those of entries or of the balancer before them. With ``is_claiming`` each job
-    goes under a key of the caller's own, which costs the platform a write, in place of a ticket.
+    ``addresses`` are those of entries or of their load balancer. With ``is_claiming``, each job is
+    submitted with an idempotency key instead of a ticket, which costs the platform a write.
     """
 
     def __init__(
@@ -72,26 +72,29 @@
         self._client = JsonClient(ca_file=ca_file)
         self._is_claiming = is_claiming
         self._tickets: list[str] = []
-        self._turn = 0
+        self._url_index = 0
 
     async def fetch_tickets(self, count: int) -> None:
-        """Fetch a batch of tickets, for jobs that are to go out at the same time."""
+        """Fetch several tickets, for jobs that are submitted concurrently."""
         response = await self._post("/v1/tickets", msgspec.json.encode({"count": count}), {})
         self._tickets += msgspec.json.decode(response.body)["tickets"]
 
     async def submit(self, body: bytes, *, timeout_s: float = DEFAULT_TIMEOUT_S) -> CallerAnswer:
-        """Submit a job and return its answer, complete or failed; raises :class:`NoAnswer`."""
+        """Submit a job and return its result, complete or failed.
+
+        Raise :class:`NoAnswer` if no entry responded.
+        """
         headers = await self._get_submission_headers()
         started_at = clock.monotonic()
-        for attempt in range(1, MAX_SENDS + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
                 response = await self._post("/v1/jobs", body, headers, timeout_s)
             except HttpFailure:
-                self._turn += 1
-                await asyncio.sleep(PAUSE_S * attempt)
+                self._url_index += 1
+                await asyncio.sleep(RETRY_DELAY_S * attempt)
                 continue
-            return self._take(response, clock.monotonic() - started_at, attempt)
-        raise NoAnswer(f"no answer after {MAX_SENDS} sends")
+            return self._make_answer(response, clock.monotonic() - started_at, attempt)
+        raise NoAnswer(f"no response in {MAX_ATTEMPTS} attempts")
 
     async def _get_submission_headers(self) -> dict[str, str]:
         if self._is_claiming:
@@ -100,7 +103,7 @@
             await self.fetch_tickets(1)
         return {"Submission-Ticket": self._tickets.pop()}
 
-    def _take(self, response: JsonResponse, elapsed_s: float, sends: int) -> CallerAnswer:
+    def _make_answer(self, response: JsonResponse, elapsed_s: float, sends: int) -> CallerAnswer:
         body = msgspec.json.decode(response.body)
         ticket = body.get("next_ticket")
         if ticket:
@@ -116,7 +119,7 @@
     async def _post(
         self, path: str, body: bytes, headers: dict[str, str], timeout_s: float = 10.0
     ) -> JsonResponse:
-        url = self._urls[self._turn % len(self._urls)]
+        url = self._urls[self._url_index % len(self._urls)]
         return await self._client.request(
             "POST", url + path, body=body, headers={**self._headers, **headers}, timeout_s=timeout_s
         )
--- a/dalemast/hosting/__init__.py
+++ b/dalemast/hosting/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's services as dalemast uses them: a table and a host list."""
+"""The platform's services used by dalemast: a table and a host list."""
 
 from dalemast.hosting.base import (
     BaseHostList,
--- a/dalemast/hosting/base.py
+++ b/dalemast/hosting/base.py
@@ -1,4 +1,4 @@
-"""The interfaces of the platform's services."""
+"""Interfaces of the platform's services."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Row(_Value, frozen=True, kw_only=True):
-    """A row of the table. ``version`` counts its writes from 1; ``value`` is JSON."""
+    """A row of the table. ``version`` starts at 1 and grows with each write; ``value`` is JSON."""
 
     key: str
     version: int
@@ -40,28 +40,28 @@
 
 
 class Condition(_Value, frozen=True, kw_only=True):
-    """A row must be at this version for a transaction to happen; 0 means that it is absent."""
+    """The version at which a row must be for a transaction; 0 means that it must not exist."""
 
     key: str
     version: int
 
 
 class HostRole(enum.Enum):
-    """What a host carries."""
+    """The role of a host."""
 
     ENTRY = "entry"
     WORKER = "worker"
 
 
 class HostState(enum.Enum):
-    """What the platform says of a host."""
+    """The state of a host, as listed by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class Host(_Value, frozen=True, kw_only=True):
-    """A host as the platform lists it, with a lag. ``address`` is where its process is reached."""
+    """An entry of the host list. ``address`` is that of the process on the host."""
 
     name: str
     role: HostRole
@@ -75,27 +75,27 @@
 
     @abc.abstractmethod
     async def get_rows(self, keys: tuple[str, ...]) -> tuple[Row | None, ...]:
-        """Read rows, in the order of the keys."""
+        """Return the rows in the order of the keys, with None for a missing row."""
 
     @abc.abstractmethod
     async def insert_rows(self, puts: tuple[Put, ...]) -> tuple[Row, ...]:
-        """Insert each row unless its key exists; return the row that now stands under each key."""
+        """Insert each row unless its key exists; return the current row of each key."""
 
     @abc.abstractmethod
     async def transact(self, *, conditions: tuple[Condition, ...], puts: tuple[Put, ...]) -> None:
-        """Write all rows if every condition holds, else raise :class:`ConditionFailed`."""
+        """Write all rows if all conditions hold, else raise :class:`ConditionFailed`."""
 
 
 class BaseHostList(abc.ABC):
-    """The platform's list of live and leaving hosts. It lags."""
+    """The platform's list of live and leaving hosts, which may be out of date."""
 
     @abc.abstractmethod
     async def get_hosts(self) -> tuple[Host, ...]:
-        """Return the list; raises :class:`PlatformError`."""
+        """Return the list; may raise :class:`PlatformError`."""
 
 
 class BasePlatform(abc.ABC):
-    """Both services. Settings name a subclass by its dotted path."""
+    """Both services. The settings name a subclass by its dotted path."""
 
     @property
     @abc.abstractmethod
@@ -108,4 +108,4 @@
         """The host list."""
 
     async def close(self) -> None:  # noqa: B027
-        """Let go of connections."""
+        """Close open connections."""
--- a/dalemast/hosting/exceptions.py
+++ b/dalemast/hosting/exceptions.py
@@ -1,4 +1,4 @@
-"""Failures of the platform's services."""
+"""Errors of the platform's services."""
 
 from dalemast.core.exceptions import DalemastError
 
@@ -12,22 +12,22 @@
 
 
 class PlatformError(DalemastError):
-    """The platform's service did not do what was asked, or did not say that it has."""
+    """A request to the platform's service failed or got no response."""
 
     code = "E1701"
     status = 503
-    hint = "Ticketed jobs need no table and go on; changes have to wait."
+    hint = "Jobs with tickets need no table and continue; retry configuration changes later."
 
 
 class PlatformDown(PlatformError):
     """The service refused or could not be reached; nothing was written."""
 
     code = "E1702"
-    hint = "Look at the platform's own state; dalemast needs nothing done."
+    hint = "Check the state of the platform; dalemast recovers by itself."
 
 
 class PlatformBusy(PlatformError):
-    """The service's limit of reads or writes a second is reached; nothing was written."""
+    """The service's limit of reads or writes per second is reached; nothing was written."""
 
     code = "E1703"
     status = 429
@@ -35,7 +35,7 @@
 
 
 class PlatformAnswerLost(PlatformError):
-    """No answer came: a write may or may not have taken effect. Read it back."""
+    """No response was received; a write may or may not have taken effect."""
 
     code = "E1704"
     status = 504
@@ -47,4 +47,4 @@
 
     code = "E1705"
     status = 409
-    hint = "Read the row again and decide anew."
+    hint = "Read the row again and repeat the change on its current version."
--- a/dalemast/hosting/faults.py
+++ b/dalemast/hosting/faults.py
@@ -1,4 +1,4 @@
-"""Faults that the stand-in can be told to show."""
+"""Faults that can be injected into the platform stand-in."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class FaultControls(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What the stand-in does wrong now. Times are seconds, rates a second; 0 sets no limit.
+    """Faults and rate limits of the stand-in; a rate of 0 means no limit.
 
-    ``is_down`` refuses everything. ``delay_s`` delays each answer. ``is_losing_answers`` performs
-    writes and then gives no answer. ``host_lag_s`` shows the host list as it was that long ago.
+    ``is_down`` refuses every request. ``delay_s`` delays every response. ``is_losing_answers``
+    performs writes but sends no response. ``host_lag_s`` is the age of the host list returned.
     """
 
     is_down: bool = False
--- a/dalemast/hosting/http.py
+++ b/dalemast/hosting/http.py
@@ -1,4 +1,4 @@
-"""The platform's services over HTTP, as the stand-in serves them."""
+"""Client of the platform's services over HTTP, as served by the stand-in."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 
 
 class GetRows(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of a read."""
+    """Request body of a read."""
 
     keys: tuple[str, ...]
 
 
 class InsertRows(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of a group insert."""
+    """Request body of an insert of several rows."""
 
     puts: tuple[Put, ...]
 
 
 class Transact(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of a transaction."""
+    """Request body of a transaction."""
 
     conditions: tuple[Condition, ...]
     puts: tuple[Put, ...]
@@ -74,10 +74,12 @@
             raise PlatformAnswerLost(failure.message) from failure
         if response.status == 200:
             return response.decode(answer_type)
-        raise self._as_error(response.get_error_code(), response.status)
+        raise self._make_error(response.get_error_code(), response.status)
 
-    def _as_error(self, code: str, status: int) -> PlatformError:
-        return _ERRORS.get(code, PlatformError)(f"the platform answered {status} {code}")
+    def _make_error(self, code: str, status: int) -> PlatformError:
+        return _ERRORS.get(code, PlatformError)(
+            f"the platform responded with status {status} {code}"
+        )
 
 
 class HttpTable(BaseTable):
--- a/dalemast/hosting/memory.py
+++ b/dalemast/hosting/memory.py
@@ -1,4 +1,4 @@
-"""The platform's services in memory: the embedded default and the heart of the stand-in."""
+"""In-memory platform services, used by ``dalemast local``, tests and the stand-in."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 __all__ = ["MemoryHostList", "MemoryPlatform", "MemoryTable"]
 
 HISTORY_LENGTH = 1000
+"""Past versions of the host list that are kept."""
 
 
-class _Gatekeeper:
-    """Shows the faults and keeps the limits of both services."""
+class _FaultInjector:
+    """Applies faults and rate limits to the calls of both services."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -51,7 +52,7 @@
             rate_per_s=faults.writes_per_s, burst=faults.writes_per_s, now=now
         )
 
-    async def enter(self, *, is_write: bool) -> None:
+    async def start_call(self, *, is_write: bool) -> None:
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.is_down:
@@ -59,39 +60,39 @@
         limit = self.faults.writes_per_s if is_write else self.faults.reads_per_s
         bucket = self._write_bucket if is_write else self._read_bucket
         if limit and not bucket.take(now=self.clock()):
-            raise PlatformBusy("the platform's limit is reached")
+            raise PlatformBusy(f"the platform's limit of {limit:g} calls per second is reached")
         self.reads += not is_write
         self.writes += is_write
 
-    def leave_write(self) -> None:
+    def finish_write(self) -> None:
         if self.faults.is_losing_answers:
-            raise PlatformAnswerLost("no answer")
+            raise PlatformAnswerLost("the response was lost")
 
 
 class MemoryTable(BaseTable):
-    """The table as a dictionary; one loop runs it, so each call is atomic."""
+    """A table backed by a dictionary. Calls are atomic because they run in one event loop."""
 
-    def __init__(self, *, gatekeeper: _Gatekeeper) -> None:
-        self._gatekeeper = gatekeeper
+    def __init__(self, *, fault_injector: _FaultInjector) -> None:
+        self._fault_injector = fault_injector
         self._rows: dict[str, Row] = {}
 
     async def get_rows(self, keys: tuple[str, ...]) -> tuple[Row | None, ...]:
         """Read rows, in the order of the keys."""
-        await self._gatekeeper.enter(is_write=False)
+        await self._fault_injector.start_call(is_write=False)
         return tuple(self._rows.get(key) for key in keys)
 
     async def insert_rows(self, puts: tuple[Put, ...]) -> tuple[Row, ...]:
         """Insert each row unless its key exists."""
-        await self._gatekeeper.enter(is_write=True)
+        await self._fault_injector.start_call(is_write=True)
         for put in puts:
             if put.key not in self._rows:
                 self._write(put)
-        self._gatekeeper.leave_write()
+        self._fault_injector.finish_write()
         return tuple(self._rows[put.key] for put in puts)
 
     async def transact(self, *, conditions: tuple[Condition, ...], puts: tuple[Put, ...]) -> None:
         """Write all rows if every condition holds."""
-        await self._gatekeeper.enter(is_write=True)
+        await self._fault_injector.start_call(is_write=True)
         for condition in conditions:
             row = self._rows.get(condition.key)
             version = 0 if row is None else row.version
@@ -101,7 +102,7 @@
                 )
         for put in puts:
             self._write(put)
-        self._gatekeeper.leave_write()
+        self._fault_injector.finish_write()
 
     def _write(self, put: Put) -> None:
         row = self._rows.get(put.key)
@@ -110,41 +111,41 @@
 
 
 class MemoryHostList(BaseHostList):
-    """The host list with its past, so that it can lag."""
+    """A host list that keeps past versions, to emulate a lag."""
 
-    def __init__(self, *, gatekeeper: _Gatekeeper) -> None:
-        self._gatekeeper = gatekeeper
+    def __init__(self, *, fault_injector: _FaultInjector) -> None:
+        self._fault_injector = fault_injector
         self._history: deque[tuple[float, tuple[Host, ...]]] = deque(maxlen=HISTORY_LENGTH)
-        self._history.append((gatekeeper.clock(), ()))
+        self._history.append((fault_injector.clock(), ()))
 
     async def get_hosts(self) -> tuple[Host, ...]:
         """Return the list as it was ``host_lag_s`` ago."""
-        await self._gatekeeper.enter(is_write=False)
-        as_of = self._gatekeeper.clock() - self._gatekeeper.faults.host_lag_s
-        shown = self._history[0][1]
+        await self._fault_injector.start_call(is_write=False)
+        as_of = self._fault_injector.clock() - self._fault_injector.faults.host_lag_s
+        result = self._history[0][1]
         for changed_at, hosts in self._history:
             if changed_at <= as_of:
-                shown = hosts
-        return shown
+                result = hosts
+        return result
 
     def set_host(self, host: Host) -> None:
-        """Add or change a host, as the platform's own supervision would."""
+        """Add or change a host, as the platform would."""
         others = tuple(known for known in self._history[-1][1] if known.name != host.name)
-        self._history.append((self._gatekeeper.clock(), (*others, host)))
+        self._history.append((self._fault_injector.clock(), (*others, host)))
 
     def remove_host(self, name: str) -> None:
-        """Take a host off the list."""
-        left = tuple(known for known in self._history[-1][1] if known.name != name)
-        self._history.append((self._gatekeeper.clock(), left))
+        """Remove a host from the list."""
+        remaining = tuple(known for known in self._history[-1][1] if known.name != name)
+        self._history.append((self._fault_injector.clock(), remaining))
 
 
 class MemoryPlatform(BasePlatform):
-    """Both services in memory, with fault controls."""
+    """Both services in memory, with fault injection."""
 
     def __init__(self, *, clock: Callable[[], float] = time.monotonic, url: str = "") -> None:
-        self._gatekeeper = _Gatekeeper(clock=clock)
-        self._table = MemoryTable(gatekeeper=self._gatekeeper)
-        self._hosts = MemoryHostList(gatekeeper=self._gatekeeper)
+        self._fault_injector = _FaultInjector(clock=clock)
+        self._table = MemoryTable(fault_injector=self._fault_injector)
+        self._hosts = MemoryHostList(fault_injector=self._fault_injector)
 
     @property
     def table(self) -> MemoryTable:
@@ -158,19 +159,19 @@
 
     @property
     def reads(self) -> int:
-        """How many reads were served."""
-        return self._gatekeeper.reads
+        """The number of reads served."""
+        return self._fault_injector.reads
 
     @property
     def writes(self) -> int:
-        """How many writes were served."""
-        return self._gatekeeper.writes
+        """The number of writes served."""
+        return self._fault_injector.writes
 
     @property
     def faults(self) -> FaultControls:
-        """The faults that are shown now."""
-        return self._gatekeeper.faults
+        """The faults that are currently injected."""
+        return self._fault_injector.faults
 
     def set_faults(self, faults: FaultControls) -> None:
-        """Show these faults from now on."""
-        self._gatekeeper.set_faults(faults)
+        """Replace the injected faults."""
+        self._fault_injector.set_faults(faults)
--- a/dalemast/hosting/server.py
+++ b/dalemast/hosting/server.py
@@ -1,4 +1,4 @@
-"""The stand-in for the platform's services, as a process of its own, with fault controls."""
+"""The stand-in for the platform's services as a process, with fault injection."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
     """``POST /v1/table/insert``."""
 
     async def post(self) -> None:
-        """Insert rows; a lost answer breaks the connection off."""
+        """Insert rows; close the connection if the response is to be lost."""
         body: InsertRows = decode_body(self.request.body, InsertRows)
         try:
             self.send_json(await self._platform.table.insert_rows(body.puts))
         except PlatformAnswerLost:
-            self._break_off()
+            self._close_without_response()
 
-    def _break_off(self) -> None:
+    def _close_without_response(self) -> None:
         self.request.connection.stream.close()  # type: ignore[union-attr]
         self._finished = True
 
@@ -49,12 +49,12 @@
     """``POST /v1/table/transact``."""
 
     async def post(self) -> None:
-        """Write rows under conditions; a lost answer breaks the connection off."""
+        """Write rows under conditions; close the connection if the response is to be lost."""
         body: Transact = decode_body(self.request.body, Transact)
         try:
             await self._platform.table.transact(conditions=body.conditions, puts=body.puts)
         except PlatformAnswerLost:
-            self._break_off()
+            self._close_without_response()
             return
         self.send_json({"status": "written"})
 
@@ -63,12 +63,12 @@
     """``GET /v1/hosts``."""
 
     async def get(self) -> None:
-        """Give the list, as old as the lag says."""
+        """Send the list, delayed by the configured lag."""
         self.send_json(await self._platform.hosts.get_hosts())
 
 
 class HostHandler(_PlatformHandler):
-    """``PUT`` and ``DELETE /v1/hosts/NAME``: what the platform's supervision would do."""
+    """``PUT`` and ``DELETE /v1/hosts/NAME``: change the host list as the platform would."""
 
     def put(self, name: str) -> None:
         """Add or change a host."""
@@ -77,7 +77,7 @@
         self.send_json({"status": "listed", "name": name})
 
     def delete(self, name: str) -> None:
-        """Take a host off the list."""
+        """Remove a host from the list."""
         self._platform.hosts.remove_host(name)
         self.send_json({"status": "removed", "name": name})
 
@@ -86,20 +86,20 @@
     """``GET`` and ``PUT /v1/faults``."""
 
     def get(self) -> None:
-        """Give the faults that are shown now."""
+        """Send the faults that are currently injected."""
         self.send_json(self._platform.faults)
 
     def put(self) -> None:
-        """Show these faults from now on."""
+        """Replace the injected faults."""
         self._platform.set_faults(decode_body(self.request.body, FaultControls))
         self.send_json(self._platform.faults)
 
 
 class UsageHandler(_PlatformHandler):
-    """``GET /v1/usage``: reads and writes served."""
+    """``GET /v1/usage``: the number of reads and writes served."""
 
     def get(self) -> None:
-        """Give the counters."""
+        """Send the counters."""
         self.send_json({"reads": self._platform.reads, "writes": self._platform.writes})
 
 
@@ -118,7 +118,7 @@
 
 
 class PlatformServer(BaseProcess):
-    """The stand-in as a process."""
+    """The process of the stand-in."""
 
     def __init__(self, *, settings: PlatformServerSettings) -> None:
         self._platform = MemoryPlatform()
@@ -133,25 +133,25 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address at which the stand-in listens."""
         return self._listener.address
 
     @property
     def platform(self) -> MemoryPlatform:
-        """The platform behind it."""
+        """The in-memory platform that is served."""
         return self._platform
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._listener.start()
 
     async def drain(self) -> None:
-        """Nothing runs here."""
+        """Return at once, since there is no work to finish."""
 
     def get_unfinished(self) -> list[str]:
-        """Return nothing: the stand-in keeps nothing."""
+        """Return an empty list, since there is no work to finish."""
         return []
 
     async def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets."""
         await self._listener.close()
--- a/dalemast/local/__init__.py
+++ b/dalemast/local/__init__.py
@@ -1,4 +1,4 @@
-"""Everything in one event loop: the embedded default, for trying out and for tests."""
+"""The whole system in one event loop, for demonstration and tests."""
 
 from dalemast.local.process import LocalProcess
 from dalemast.local.samples import SampleEndpoint, SampleState
--- a/dalemast/local/process.py
+++ b/dalemast/local/process.py
@@ -33,16 +33,16 @@
 
 
 def load_sample_configuration() -> Configuration:
-    """Return the accounts, services and limits of the sample, without endpoints."""
+    """Return the sample configuration: accounts, services and limits, but no endpoints."""
     text = resources.files("dalemast.local").joinpath("sample.yaml").read_text()
     kinds = yaml.safe_load(text)
     return Configuration(**{kind: parse_items(kind, items) for kind, items in kinds.items()})
 
 
 class LocalProcess(BaseProcess):
-    """The whole system in one process, for trying out and for tests.
+    """The whole system in one process, for demonstration and tests.
 
-    ``entries`` settings allow several entries; the first is the one whose addresses are shown.
+    ``callers`` and ``operators`` are the addresses of the first of ``entry_count`` entries.
     """
 
     def __init__(
@@ -75,16 +75,16 @@
 
     @property
     def callers_address(self) -> str:
-        """Where callers connect."""
+        """The address at which callers connect."""
         return self.entries[0].callers_address
 
     @property
     def operators_address(self) -> str:
-        """Where operators connect."""
+        """The address at which operators connect."""
         return self.entries[0].operators_address
 
     async def start(self) -> None:
-        """Start endpoints and agents, declare them, and start the entries."""
+        """Start endpoints and agents, write the configuration, and start the entries."""
         declared = []
         for hall in HALLS:
             for number in range(self._endpoints_per_hall):
@@ -131,12 +131,12 @@
         await asyncio.gather(*(agent.drain() for agent in self.agents))
 
     def get_unfinished(self) -> list[str]:
-        """Return what would be cut off."""
+        """Describe the unfinished work of all processes."""
         processes: list[BaseProcess] = [*self.entries, *self.agents]
         return [item for process in processes for item in process.get_unfinished()]
 
     async def close(self) -> None:
-        """Close everything."""
+        """Close all entries, agents and endpoints."""
         for entry in self.entries:
             await entry.close()
         for agent in self.agents:
@@ -175,7 +175,7 @@
         )
 
     async def _wait_for_links(self) -> None:
-        """Wait until every entry has greeted every agent, so that the first job finds them all."""
+        """Wait until every entry is linked to every agent, so that the first job can use them."""
         while not all(
             view.is_linked for entry in self.entries for view in entry.engine.owner.pool.get_views()
         ):
--- a/dalemast/local/samples.py
+++ b/dalemast/local/samples.py
@@ -1,4 +1,4 @@
-"""Sample services, served over HTTP as an endpoint would."""
+"""Sample services, served by an HTTP endpoint."""
 
 from __future__ import annotations
 
@@ -18,15 +18,14 @@
 SAMPLE_SERVICES = ("seat-draw", "prize-ladder", "echo", "sleep", "fail", "count")
 
 LADDER_RATIO = 0.6
-"""Each place of a prize ladder gets this part of the place above it."""
+"""Prize of a place as a share of the prize of the place above it."""
 
 
 class SampleState:
-    """What all sample endpoints of a process share: how often named tasks were started.
+    """State shared by all sample endpoints of a process: counts of started tasks, and faults.
 
-    ``work_s`` is added to every seat draw and prize ladder, in seconds. ``slowdown`` stretches
-    every sleep and ``failing`` endpoints fail every task at once; experiments set both by the name
-    of the endpoint.
+    ``work_s`` is the time added to every seat draw and prize ladder. ``slowdown`` maps the names of
+    endpoints to a factor for their sleeps. Endpoints in ``failing`` fail every task at once.
     """
 
     def __init__(self) -> None:
@@ -44,7 +43,7 @@
 
 
 class _ServiceFailed(Exception):
-    """A sample service was told to fail, or was given something it cannot use."""
+    """A sample service failed as requested, or does not exist."""
 
 
 class _SampleHandler(BaseHandler):
@@ -58,7 +57,7 @@
         self._state.tasks[call.task] += 1
         try:
             if self._name in self._state.failing:
-                raise _ServiceFailed("this endpoint fails everything")
+                raise _ServiceFailed("this endpoint is set to fail every task")
             self.send_json(await self._run(call))
         except (_ServiceFailed, KeyError, TypeError, ValueError) as error:
             self.send_json({"error": str(error)}, status=500)
@@ -81,7 +80,7 @@
         if isinstance(payload, dict) and "name" in payload:
             self._state.starts[str(payload["name"])] += 1
         seconds = float(payload["ms"]) / 1000.0 * self._state.slowdown.get(self._name, 1.0)
-        # The clock starts with the request, so that parsing it is part of the task's time.
+        # The duration is counted from the arrival of the request, so that it includes parsing.
         await asyncio.sleep(max(0.0, seconds - self.request.request_time()))
         return payload
 
@@ -99,15 +98,15 @@
         self._name = name
 
     def get(self) -> None:
-        """Tell how often each task was started at the endpoints of this process."""
-        is_whole = self.get_query_argument("all", "") != ""
-        tasks = self._state.tasks if is_whole else {}
-        names = self._state.starts if is_whole else {}
+        """Send the number of starts of each task at the endpoints of this process."""
+        shows_all = self.get_query_argument("all", "") != ""
+        tasks = self._state.tasks if shows_all else {}
+        names = self._state.starts if shows_all else {}
         total = self._state.tasks.total()
         self.send_json({"started": total, "tasks": tasks, "names": names})
 
     def put(self) -> None:
-        """Make this endpoint slow or failing, or sound again."""
+        """Set or reset the slowdown and the failure of this endpoint."""
         body = decode_body(self.request.body, dict[str, Any])
         self._state.slowdown[self._name] = float(body.get("slowdown", 1.0))
         if body.get("failing"):
@@ -126,9 +125,9 @@
 
 
 def share_out(pool: int, places: int) -> list[int]:
-    """Share a pool among places, falling, so that the amounts sum to the pool exactly."""
+    """Divide a pool into descending prizes whose sum is exactly the pool."""
     if places < 1 or pool < 0:
-        raise ValueError("a ladder has at least one place and a pool of at least 0")
+        raise ValueError("places must be at least 1 and pool at least 0")
     weights = [LADDER_RATIO**place for place in range(places)]
     total = sum(weights)
     amounts = [int(pool * weight / total) for weight in weights]
@@ -137,7 +136,7 @@
 
 
 class SampleEndpoint:
-    """One sample endpoint on an address of its own."""
+    """A sample endpoint with its own address."""
 
     def __init__(self, *, address: str, name: str, state: SampleState) -> None:
         arguments = {"state": state, "name": name}
@@ -148,13 +147,13 @@
 
     @property
     def url(self) -> str:
-        """Where agents post tasks."""
+        """The URL to which agents send tasks."""
         return f"http://{self._listener.address}/"
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._listener.start()
 
     async def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets."""
         await self._listener.close()
--- a/dalemast/management/__init__.py
+++ b/dalemast/management/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: one module a command."""
+"""The command line, with one module per command."""
 
 from dalemast.management.base import CommandLine, run_command_line
 
--- a/dalemast/management/base.py
+++ b/dalemast/management/base.py
@@ -1,4 +1,4 @@
-"""The command line as a whole."""
+"""The command line and its exit codes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 @cappa.command(name="dalemast", help="A shared dispatcher for sub-second tasks.")
 @dataclass(frozen=True, kw_only=True)
 class CommandLine:
-    """All commands."""
+    """The command line with all commands."""
 
     command: cappa.Subcommands[
         EntryCommand
@@ -49,7 +49,7 @@
 
 
 def run_command_line(arguments: Sequence[str] | None = None) -> int:
-    """Run the command that the arguments name; return its exit code."""
+    """Run the command given by the arguments and return its exit code."""
     argv = list(sys.argv[1:] if arguments is None else arguments)
     try:
         result = cappa.invoke(CommandLine, argv=argv, version=__version__)
@@ -57,8 +57,8 @@
         print_error(error)
         return ExitCode.CONFLICT if error.status == 409 else ExitCode.INVALID
     except HttpFailure as failure:
-        print(f"error: no answer: {failure.message}", file=sys.stderr)
+        print(f"error: no response: {failure.message}", file=sys.stderr)
         return ExitCode.UNREACHABLE
-    except cappa.Exit as leave:
-        return ExitCode.INVALID if leave.code else ExitCode.DONE
+    except cappa.Exit as exit_request:
+        return ExitCode.INVALID if exit_request.code else ExitCode.DONE
     return result if isinstance(result, int) else ExitCode.DONE
--- a/dalemast/management/commands/__init__.py
+++ b/dalemast/management/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module each."""
+"""The commands, with one module per command."""
--- a/dalemast/management/commands/agent.py
+++ b/dalemast/management/commands/agent.py
@@ -15,7 +15,7 @@
 __all__ = ["AgentCommand"]
 
 
-@cappa.command(name="agent", help="Run an agent: the small process beside an endpoint.")
+@cappa.command(name="agent", help="Run an agent: the process next to an endpoint.")
 @dataclass(frozen=True, kw_only=True)
 class AgentCommand:
     """Run an agent."""
--- a/dalemast/management/commands/check.py
+++ b/dalemast/management/commands/check.py
@@ -35,7 +35,7 @@
 
 
 def parse_configuration_file(file: str) -> dict[str, tuple[object, ...]]:
-    """Read a file of declarations into documents by kind."""
+    """Parse a file of declarations into documents by kind."""
     values = load_document(file)
     if not isinstance(values, dict) or not values:
         raise SettingsInvalid("the file declares no kinds", place=file)
@@ -45,7 +45,7 @@
 @cappa.command(name="check", help="Check a settings file, or a file of declarations.")
 @dataclass(frozen=True, kw_only=True)
 class CheckCommand:
-    """Check a file; exit 0 when it is good and 2 when it is not."""
+    """Check a file; exit with 0 if it is valid and with 2 if it is not."""
 
     file: Annotated[str, cappa.Arg(help="A YAML file.")]
     role: Annotated[
@@ -53,7 +53,7 @@
     ] = ""
 
     def __call__(self) -> int:
-        """Print every finding."""
+        """Check the file and print every finding."""
         role = self.role or self._guess_role()
         if role == "declarations":
             kinds = parse_configuration_file(self.file)
@@ -73,7 +73,7 @@
         return ExitCode.DONE
 
     def _guess_role(self) -> str:
-        """Guess the role by the keys: the role whose settings know most of them."""
+        """Return the role whose settings have most of the file's keys."""
         values = load_document(self.file)
         if not isinstance(values, dict):
             return "entry"
--- a/dalemast/management/commands/ctl.py
+++ b/dalemast/management/commands/ctl.py
@@ -20,7 +20,7 @@
 @cappa.command(name="ctl", help="Operate a running platform.")
 @dataclass(frozen=True, kw_only=True)
 class CtlCommand:
-    """The operators' subcommands."""
+    """Subcommands for operators."""
 
     command: cappa.Subcommands[
         ApplyCommand
--- a/dalemast/management/commands/demo.py
+++ b/dalemast/management/commands/demo.py
@@ -1,4 +1,4 @@
-"""``dalemast demo``: a table break."""
+"""``dalemast demo``: seat draws for the tables of a tournament."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 PLAYERS_PER_TABLE = 9
 FREE_ADDRESS = "127.0.0.1:0"
-WORK_S = 0.05
-"""Time that each draw is given: the users' shortest tasks take 50 ms."""
+TASK_DURATION_S = 0.05
+"""Duration added to each seat draw."""
 
 
 @cappa.command(name="demo", help="Run a table break: one job of seat draws for every table.")
 @dataclass(frozen=True, kw_only=True)
 class DemoCommand:
-    """Start everything in this process, submit the job over HTTP and print what came back."""
+    """Start all processes in one event loop, submit a job over HTTP and print its result."""
 
     tables: Annotated[int, cappa.Arg(long=True, help="How many tables break.")] = 40
 
@@ -38,7 +38,7 @@
         started_at = clock.monotonic()
         local = LocalProcess(callers=FREE_ADDRESS, operators=FREE_ADDRESS)
         await local.start()
-        ideal_s = await self._measure_ideal(local)
+        ideal_s = await self._measure_direct_call(local)
         caller = Caller(addresses=(local.callers_address,), token="demo-token")
         await caller.fetch_tickets(1)
         answer = await caller.submit(self._make_job())
@@ -46,12 +46,12 @@
         print_figures(local, answer, ideal_s, clock.monotonic() - started_at)
         await local.drain()
         await local.close()
-        is_whole = answer.is_complete and len(answer.body["answers"]) == self.tables
-        return ExitCode.DONE if is_whole else ExitCode.FAILED
+        is_complete = answer.is_complete and len(answer.body["answers"]) == self.tables
+        return ExitCode.DONE if is_complete else ExitCode.FAILED
 
-    async def _measure_ideal(self, local: LocalProcess) -> float:
-        """Return the seconds one draw takes when an endpoint is called with no dispatch at all."""
-        local.samples.work_s = WORK_S
+    async def _measure_direct_call(self, local: LocalProcess) -> float:
+        """Return the duration in seconds of one draw called directly at an endpoint."""
+        local.samples.work_s = TASK_DURATION_S
         payload = {"table": 0, "players": get_players(0)}
         call = {"task": "ideal", "service": "seat-draw", "payload": payload}
         client = JsonClient()
@@ -88,7 +88,7 @@
 def print_figures(
     local: LocalProcess, answer: CallerAnswer, ideal_s: float, total_s: float
 ) -> None:
-    """Print the response time against the ideal and the messages it took."""
+    """Print the response time, its ratio to a direct call, and the number of messages."""
     counters = local.entries[0].engine.metrics.dump().counters
     starts = counters.get("frames.sent.starts", 0)
     answers = counters.get("frames.received.answers", 0)
--- a/dalemast/management/commands/entry.py
+++ b/dalemast/management/commands/entry.py
@@ -21,7 +21,9 @@
 __all__ = ["EntryCommand"]
 
 
-@cappa.command(name="entry", help="Run an entry: the process that callers and operators reach.")
+@cappa.command(
+    name="entry", help="Run an entry: the process to which callers and operators connect."
+)
 @dataclass(frozen=True, kw_only=True)
 class EntryCommand:
     """Run an entry."""
--- a/dalemast/management/commands/fleet.py
+++ b/dalemast/management/commands/fleet.py
@@ -24,7 +24,7 @@
         return run_entry(self.settings)
 
 
-@cappa.command(name="fleet-agent", help="Run an agent beside a leased worker.")
+@cappa.command(name="fleet-agent", help="Run an agent next to a leased worker.")
 @dataclass(frozen=True, kw_only=True)
 class FleetAgentCommand:
     """Run an agent."""
--- a/dalemast/management/commands/losses.py
+++ b/dalemast/management/commands/losses.py
@@ -23,16 +23,16 @@
 }
 
 
-@cappa.command(name="losses", help="Say where jobs were lost, from the logs of entries.")
+@cappa.command(name="losses", help="Count lost and late jobs by cause, from the logs of entries.")
 @dataclass(frozen=True, kw_only=True)
 class LossesCommand:
-    """Tables of refused, late, failed and given-up jobs by queue, data centre or second."""
+    """Count refused, late, failed and dropped jobs by queue, data centre or second."""
 
     file: Annotated[str, cappa.Arg(help="A file of log lines, or - for standard input.")]
     by: Annotated[str, cappa.Arg(long=True, help="queue, data-centre or second.")] = "queue"
 
     def __call__(self) -> int:
-        """Print a line for each key and cause, most first."""
+        """Print a line for each key and cause, with the most frequent cause of a key first."""
         if self.by not in KEYS:
             print(f"--by must be one of {', '.join(KEYS)}", file=sys.stderr)
             return ExitCode.INVALID
@@ -41,8 +41,11 @@
             _print_counts(key, counts)
         ages = sorted(loss.view_age_s for loss in losses if loss.view_age_s is not None)
         if ages:
-            middle = ages[len(ages) // 2]
-            print(f"oldest word on room when refused: median {middle:.3f} s, most {ages[-1]:.3f} s")
+            median = ages[len(ages) // 2]
+            print(
+                "age of the oldest capacity report at refusals: "
+                f"median {median:.3f} s, max {ages[-1]:.3f} s"
+            )
         print(f"{len(losses)} jobs lost or late")
         return ExitCode.DONE
 
--- a/dalemast/management/commands/reference.py
+++ b/dalemast/management/commands/reference.py
@@ -1,4 +1,4 @@
-"""``dalemast reference``: the pages that are made from the code."""
+"""``dalemast reference``: reference pages generated from the code."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 _ERRORS_HEADER = """# Error codes
 
-Made from the code by `dalemast reference errors`; a test holds this page and the code together. The
-run column is what the error says when nothing more is known; the `run` field of an answer is exact.
+Generated from the code by `dalemast reference errors`; a test checks that it is up to date. The run
+column is the default of the error; the `run` field of a response is exact.
 
 | code | status | name | run | meaning | what to do |
 |---|---|---|---|---|---|
@@ -33,9 +33,9 @@
 
 _SETTINGS_HEADER = """# Settings
 
-Made from the code by `dalemast reference settings`; a test holds this page and the code together.
-Settings are YAML; unknown keys are refused. `dalemast check FILE` finds errors without starting
-anything.
+Generated from the code by `dalemast reference settings`; a test checks that it is up to date.
+Settings are YAML; unknown keys are refused. `dalemast check FILE` reports errors without starting
+a process.
 """
 
 _ROLES: tuple[tuple[str, type[Settings]], ...] = (
@@ -48,7 +48,7 @@
 
 
 def render_errors() -> str:
-    """Return the page of all error codes as Markdown."""
+    """Return the reference page of all error codes as Markdown."""
     for module in pkgutil.walk_packages(dalemast.__path__, "dalemast."):
         if module.name.endswith(".exceptions"):
             importlib.import_module(module.name)
@@ -63,7 +63,7 @@
 
 
 def render_settings() -> str:
-    """Return the page of all settings as Markdown."""
+    """Return the reference page of all settings as Markdown."""
     parts = [_SETTINGS_HEADER]
     shown = {settings_type for _, settings_type in _ROLES}
     for role, settings_type in _ROLES:
@@ -105,7 +105,7 @@
 _PAGES: dict[str, Callable[[], str]] = {"errors": render_errors, "settings": render_settings}
 
 
-@cappa.command(name="reference", help="Print a page of the reference that is made from the code.")
+@cappa.command(name="reference", help="Print a reference page that is generated from the code.")
 @dataclass(frozen=True, kw_only=True)
 class ReferenceCommand:
     """Print a page as Markdown."""
--- a/dalemast/management/ctl/__init__.py
+++ b/dalemast/management/ctl/__init__.py
@@ -1,1 +1,1 @@
-"""What operators do from their shell: one module a subcommand of ``dalemast ctl``."""
+"""Subcommands of ``dalemast ctl``, with one module per subcommand."""
--- a/dalemast/management/ctl/apply.py
+++ b/dalemast/management/ctl/apply.py
@@ -22,17 +22,17 @@
 POLL_S = 0.1
 
 
-@cappa.command(name="apply", help="Declare what a file says.")
+@cappa.command(name="apply", help="Apply the declarations in a file.")
 @dataclass(frozen=True, kw_only=True)
 class ApplyCommand(BaseCtlCommand):
-    """Change the configuration by compare-and-set."""
+    """Add or change the items in a file, by compare-and-set on the configuration's version."""
 
     file: Annotated[str, cappa.Arg(help="A YAML file of declarations.")]
     wait: Annotated[bool, cappa.Arg(long=True, help="Wait until in force everywhere.")] = False
     wait_limit_s: Annotated[float, cappa.Arg(long=True, help="Seconds to wait.")] = 30.0
 
     async def run(self) -> int:
-        """Read, merge, write, and wait if asked to."""
+        """Merge the file into the configuration, write it, and wait if requested."""
         wanted = parse_configuration_file(self.file)
         client = self.make_client()
         current = await client.get_configuration()
@@ -50,19 +50,19 @@
         return ExitCode.DONE
 
     async def _wait(self, client: OperatorsClient, version: int) -> None:
-        give_up_at = clock.monotonic() + self.wait_limit_s
+        deadline = clock.monotonic() + self.wait_limit_s
         with Progress(disable=self.is_json, transient=True) as progress:
             bar = progress.add_task("in force", total=None)
             while True:
                 response = await client.call("GET", "/v1/status")
                 status: PlatformStatus = response.decode(PlatformStatus)
                 total = len(status.entries) + len(status.unreachable)
-                done = sum(entry.configuration_version >= version for entry in status.entries)
-                progress.update(bar, total=total, completed=done)
-                if done == total:
+                ready = sum(entry.configuration_version >= version for entry in status.entries)
+                progress.update(bar, total=total, completed=ready)
+                if ready == total:
                     return
-                if clock.monotonic() >= give_up_at:
-                    raise NotInForce(f"version {version} is in force at {done} of {total} entries")
+                if clock.monotonic() >= deadline:
+                    raise NotInForce(f"version {version} is in force at {ready} of {total} entries")
                 await asyncio.sleep(POLL_S)
 
     def _report(self, version: int, changes: int, seconds: float) -> None:
--- a/dalemast/management/ctl/base.py
+++ b/dalemast/management/ctl/base.py
@@ -1,4 +1,4 @@
-"""What the subcommands of ``dalemast ctl`` share."""
+"""Base of the subcommands of ``dalemast ctl``."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class OutputFormat:
-    """How results are printed."""
+    """Values of the ``--output`` option."""
 
     TABLE = "table"
     JSON = "json"
 
 
 class OperatorsClient:
-    """Calls the operators' API of one process."""
+    """Client of the operators' API of one process."""
 
     def __init__(self, *, address: str, token: str, ca_file: str = "") -> None:
         self._base = address if "://" in address else f"http://{address}"
@@ -48,7 +48,7 @@
         headers: dict[str, str] | None = None,
         timeout_s: float = 10.0,
     ) -> JsonResponse:
-        """Return a response below 400; raises the typed error of any other."""
+        """Return a response with a status below 400; raise the typed error of any other."""
         response = await self._client.request(
             method,
             self._base + path,
@@ -57,7 +57,7 @@
             timeout_s=timeout_s,
         )
         if response.status >= 400:
-            raise _as_error(response)
+            raise _make_error(response)
         return response
 
     async def get_configuration(self) -> Configuration:
@@ -66,11 +66,11 @@
         return response.decode(Configuration)  # type: ignore[no-any-return]
 
 
-def _as_error(response: JsonResponse) -> DalemastError:
+def _make_error(response: JsonResponse) -> DalemastError:
     try:
         failure: FailedAnswer = response.decode(FailedAnswer)
     except msgspec.MsgspecError:
-        return RequestFailed(f"the answer was {response.status}")
+        return RequestFailed(f"the process responded with status {response.status}")
     classes = {cls.code: cls for cls in get_error_classes()}
     error_type = classes.get(failure.error.code, RequestFailed)
     return error_type(failure.error.message, place=failure.error.place, run=failure.run)
@@ -78,40 +78,40 @@
 
 @dataclass(frozen=True, kw_only=True)
 class BaseCtlCommand(abc.ABC):
-    """A subcommand with the options that all of them have."""
+    """Base of the subcommands, with the options common to all."""
 
     address: Annotated[str, cappa.Arg(long=True, help="Operators' address of any entry.")] = (
         DEFAULT_ADDRESS
     )
     token_file: Annotated[
-        str, cappa.Arg(long=True, help=f"File with the token; else ${TOKEN_VARIABLE}.")
+        str, cappa.Arg(long=True, help=f"File with the token (default: ${TOKEN_VARIABLE}).")
     ] = ""
     ca_file: Annotated[str, cappa.Arg(long=True, help="Certificates to trust, in PEM.")] = ""
     output: Annotated[str, cappa.Arg(long=True, help="table or json.")] = OutputFormat.TABLE
 
     @property
     def is_json(self) -> bool:
-        """Whether the result is for a script."""
+        """Whether to print JSON."""
         return self.output == OutputFormat.JSON
 
     def __call__(self) -> int:
         """Run the subcommand."""
         if self.output not in (OutputFormat.TABLE, OutputFormat.JSON):
-            raise OutputInvalid(f"no output {self.output!r}", place="--output")
+            raise OutputInvalid(f"unknown output format {self.output!r}", place="--output")
         return asyncio.run(self.run())
 
     @abc.abstractmethod
     async def run(self) -> int:
-        """Do the work and return the exit code."""
+        """Execute the subcommand and return the exit code."""
 
     def make_client(self, address: str = "") -> OperatorsClient:
-        """Return a client for an address, or for the one of the options."""
+        """Return a client for the given address, or for the one in the options."""
         token = os.environ.get(TOKEN_VARIABLE, "")
         if self.token_file:
             token = Path(self.token_file).read_text().strip()
         return OperatorsClient(address=address or self.address, token=token, ca_file=self.ca_file)
 
 
-def as_plain(value: Any) -> Any:
-    """Return a document as plain values."""
+def to_plain_values(value: Any) -> Any:
+    """Convert a document to dicts, lists and scalars."""
     return msgspec.to_builtins(value)
--- a/dalemast/management/ctl/changes.py
+++ b/dalemast/management/ctl/changes.py
@@ -1,4 +1,4 @@
-"""The difference between a file of declarations and what is accepted."""
+"""Differences between a file of declarations and the accepted configuration."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from typing import Any
 
 from dalemast.core.configuration import Configuration
-from dalemast.management.ctl.base import as_plain
+from dalemast.management.ctl.base import to_plain_values
 
 __all__ = ["Change", "get_changes", "merge"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Change:
-    """One item that a file adds or changes."""
+    """An item that a file adds or changes."""
 
     kind: str
     name: str
@@ -22,7 +22,7 @@
 
 
 def get_changes(current: Configuration, wanted: dict[str, tuple[Any, ...]]) -> list[Change]:
-    """Return what applying a file would change, in the order of the file."""
+    """Return the changes that applying a file would make, in the order of the file."""
     changes = []
     for kind, items in wanted.items():
         known = {item.name: item for item in getattr(current, kind)}
@@ -42,12 +42,12 @@
 
 
 def merge(current: Configuration, wanted: dict[str, tuple[Any, ...]]) -> dict[str, list[Any]]:
-    """Return the kinds of a file with its items in place of those of the same name."""
+    """Return the kinds in a file, with its items added or replacing those of the same name."""
     merged = {}
     for kind, items in wanted.items():
         replaced = {item.name: item for item in items}
         kept = [item for item in getattr(current, kind) if item.name not in replaced]
-        merged[kind] = [as_plain(item) for item in (*kept, *items)]
+        merged[kind] = [to_plain_values(item) for item in (*kept, *items)]
     return merged
 
 
--- a/dalemast/management/ctl/delete.py
+++ b/dalemast/management/ctl/delete.py
@@ -16,7 +16,7 @@
 @cappa.command(name="delete", help="Delete one declared item.")
 @dataclass(frozen=True, kw_only=True)
 class DeleteCommand(BaseCtlCommand):
-    """Delete an item by compare-and-set."""
+    """Delete an item, by compare-and-set on the configuration's version."""
 
     kind: Annotated[str, cappa.Arg(help="accounts, services, endpoints or limits.")]
     name: Annotated[str, cappa.Arg(help="The name of the item.")]
--- a/dalemast/management/ctl/diff.py
+++ b/dalemast/management/ctl/diff.py
@@ -18,7 +18,7 @@
 @cappa.command(name="diff", help="Show what applying a file would change.")
 @dataclass(frozen=True, kw_only=True)
 class DiffCommand(BaseCtlCommand):
-    """Compare a file with what is accepted; exit 0 without a difference and 1 with one."""
+    """Compare a file with the accepted configuration; exit with 1 if they differ, else with 0."""
 
     file: Annotated[str, cappa.Arg(help="A YAML file of declarations.")]
 
@@ -33,5 +33,5 @@
             rows = [(c.action, c.kind, c.name, ", ".join(c.fields)) for c in changes]
             print_table(("action", "kind", "name", "fields"), rows)
         else:
-            print(f"no difference to version {current.version}")
+            print(f"no difference from version {current.version}")
         return ExitCode.FAILED if changes else ExitCode.DONE
--- a/dalemast/management/ctl/get.py
+++ b/dalemast/management/ctl/get.py
@@ -24,7 +24,7 @@
 @cappa.command(name="get", help="List the items of a kind, or show one.")
 @dataclass(frozen=True, kw_only=True)
 class GetCommand(BaseCtlCommand):
-    """Read accepted declarations."""
+    """Show items of the accepted configuration."""
 
     kind: Annotated[str, cappa.Arg(help="accounts, services, endpoints or limits.")]
     name: Annotated[str | None, cappa.Arg(help="The name of one item.")] = None
@@ -40,11 +40,11 @@
             print_json(value)
             return ExitCode.DONE
         columns = _COLUMNS[self.kind]
-        print_table(columns, [[_as_cell(item.get(name)) for name in columns] for item in value])
+        print_table(columns, [[_format_cell(item.get(name)) for name in columns] for item in value])
         return ExitCode.DONE
 
 
-def _as_cell(value: Any) -> str:
+def _format_cell(value: Any) -> str:
     if isinstance(value, dict):
         return ",".join(f"{key}={item}" for key, item in value.items())
     return str(value)
--- a/dalemast/management/ctl/state.py
+++ b/dalemast/management/ctl/state.py
@@ -13,10 +13,10 @@
 __all__ = ["DrainCommand", "StateCommand"]
 
 
-@cappa.command(name="state", help="Dump the state of one process.")
+@cappa.command(name="state", help="Show the state of one process.")
 @dataclass(frozen=True, kw_only=True)
 class StateCommand(BaseCtlCommand):
-    """Dump an entry or an agent."""
+    """Show the state dump of an entry or an agent."""
 
     process: Annotated[str, cappa.Arg(help="The operators' address of the process.")]
 
@@ -27,7 +27,7 @@
         return ExitCode.DONE
 
 
-@cappa.command(name="drain", help="Let a process take no new work; what runs goes on.")
+@cappa.command(name="drain", help="Make a process refuse new work and finish its running work.")
 @dataclass(frozen=True, kw_only=True)
 class DrainCommand(BaseCtlCommand):
     """Drain an entry or an agent, or undo the drain of an agent."""
@@ -36,7 +36,7 @@
     undo: Annotated[bool, cappa.Arg(long=True, help="Put an agent back into service.")] = False
 
     async def run(self) -> int:
-        """Ask the process."""
+        """Send the request and print the state of the process."""
         method = "DELETE" if self.undo else "POST"
         response = await self.make_client(self.process).call(method, "/v1/drain")
         _print_state(response.decode(Any), is_json=self.is_json)
--- a/dalemast/management/ctl/status.py
+++ b/dalemast/management/ctl/status.py
@@ -17,7 +17,7 @@
 @cappa.command(name="status", help="Show all entries and the version each has in force.")
 @dataclass(frozen=True, kw_only=True)
 class StatusCommand(BaseCtlCommand):
-    """Show the platform; exit 1 when an entry is behind or out of reach."""
+    """Show the status of all entries; exit with 1 if one is behind or unreachable."""
 
     async def run(self) -> int:
         """Print the status."""
@@ -33,7 +33,7 @@
             known = "unknown, the table is down" if accepted is None else accepted
             print(f"accepted version: {known}")
             for address in status.unreachable:
-                print(f"out of reach: {address}")
+                print(f"unreachable: {address}")
         is_behind = any(
             entry.configuration_version < (status.accepted_version or 0) for entry in status.entries
         )
--- a/dalemast/management/ctl/submit.py
+++ b/dalemast/management/ctl/submit.py
@@ -21,16 +21,16 @@
 @cappa.command(name="submit", help="Submit a job as a caller and print its answer.")
 @dataclass(frozen=True, kw_only=True)
 class SubmitCommand(BaseCtlCommand):
-    """Submit a job with a ticket; resubmit it when the connection breaks."""
+    """Submit a job with a ticket; resubmit it if the connection is lost."""
 
-    file: Annotated[str, cappa.Arg(help="A JSON file with the body of the job, - for stdin.")]
+    file: Annotated[str, cappa.Arg(help="A JSON file with the body of the job, or - for stdin.")]
     callers: Annotated[
         str, cappa.Arg(long=True, help="Callers' address of an entry or balancer.")
     ] = "127.0.0.1:8700"
     account_token: Annotated[str, cappa.Arg(long=True, help="Token of the account.")] = "demo-token"
 
     async def run(self) -> int:
-        """Submit and wait."""
+        """Submit the job and print its result."""
         text = sys.stdin.buffer.read() if self.file == "-" else Path(self.file).read_bytes()
         caller = Caller(addresses=(self.callers,), token=self.account_token)
         columns = (SpinnerColumn(), TextColumn("waiting for the answer"), TimeElapsedColumn())
--- a/dalemast/management/exceptions.py
+++ b/dalemast/management/exceptions.py
@@ -6,11 +6,11 @@
 
 
 class RequestFailed(DalemastError):
-    """A process answered with something that is not an error of dalemast."""
+    """A process sent an error response that is not one of dalemast's."""
 
     code = "E1951"
     status = 502
-    hint = "Is the address that of a dalemast process?"
+    hint = "Check that the address belongs to a dalemast process."
 
 
 class OutputInvalid(DalemastError):
@@ -18,20 +18,20 @@
 
     code = "E1952"
     status = 400
-    hint = "table is for people, json for scripts."
+    hint = "Use table or json."
 
 
 class NotInForce(DalemastError):
-    """The change was accepted, but not every entry had it in force within the wait."""
+    """The change was accepted, but is not in force at every entry within the wait limit."""
 
     code = "E1953"
     status = 504
-    hint = "dalemast ctl status shows which entries are behind or out of reach."
+    hint = "dalemast ctl status shows which entries are behind or unreachable."
 
 
 class PageUnknown(DalemastError):
-    """There is no such page of the reference."""
+    """There is no such reference page."""
 
     code = "E1954"
     status = 400
-    hint = "errors and settings are made from the code."
+    hint = "Use errors or settings."
--- a/dalemast/management/output.py
+++ b/dalemast/management/output.py
@@ -1,4 +1,4 @@
-"""Tables for people, JSON for scripts, errors in one line."""
+"""Output of commands: tables, JSON and one-line errors."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 PLAIN_WIDTH = 200
-"""Columns when the output is not a terminal."""
+"""Width in columns if the output is not a terminal."""
 
 
 class ExitCode:
-    """What a command's exit code says."""
+    """Exit codes of the commands."""
 
     DONE = 0
     FAILED = 1
@@ -41,7 +41,7 @@
 
 
 def print_table(columns: Sequence[str], rows: Sequence[Sequence[object]]) -> None:
-    """Print rows under their columns."""
+    """Print rows as a table."""
     table = Table(box=None, header_style="bold", pad_edge=False)
     for column in columns:
         table.add_column(column, overflow="fold")
--- a/dalemast/management/roles.py
+++ b/dalemast/management/roles.py
@@ -1,4 +1,4 @@
-"""What the commands that start a role share: settings, checks, secrets, logs."""
+"""Helpers of the commands that start a role: settings, secrets, platform and logs."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 def get_secret(source: SecretSettings, name: str) -> str:
-    """Return a secret of the settings."""
+    """Read the secret from the source given in the settings."""
     return read_secret(file=source.file, environment=source.environment, name=name)
 
 
 def read_system_key(settings: EntrySettings | AgentSettings) -> bytes:
-    """Return the system's key."""
+    """Return the key that all processes of the system share."""
     return get_secret(settings.system_key, "system_key").encode()
 
 
 def load_platform(settings: PlatformSettings) -> BasePlatform:
-    """Return the platform's backend, named by its dotted path."""
+    """Import and create the platform's backend."""
     module, _, name = settings.backend.rpartition(".")
     backend: Any = getattr(importlib.import_module(module), name)
     platform = backend(url=settings.url)
@@ -40,5 +40,5 @@
 
 
 def start_logs(settings: LogSettings, process: str) -> None:
-    """Send logs where the settings say."""
+    """Configure the logs according to the settings."""
     set_up_logs(level=settings.level, destination=settings.destination, process=process)
--- a/tests/hosting/test_contract.py
+++ b/tests/hosting/test_contract.py
@@ -1,4 +1,4 @@
-"""One contract for every platform: in memory, and over HTTP against the stand-in."""
+"""All platform implementations meet the same contract: in memory and over HTTP."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class PlatformContract(abc.ABC):
-    """What every implementation has to do; ``self.memory`` is the platform behind it."""
+    """Tests of every implementation; ``self.memory`` is the in-memory platform it uses."""
 
     memory: MemoryPlatform
 
@@ -56,7 +56,7 @@
 
         self.check(body)
 
-    def test_racing_inserts_have_one_winner(self) -> None:
+    def test_one_of_several_concurrent_inserts_succeeds(self) -> None:
         async def body(platform: BasePlatform) -> None:
             answers = await asyncio.gather(
                 *(platform.table.insert_rows((make_put("k", n),)) for n in range(10))
@@ -106,7 +106,7 @@
 
         self.check(body)
 
-    def test_limits_are_refused_as_busy(self) -> None:
+    def test_calls_above_the_limit_are_refused_as_busy(self) -> None:
         async def body(platform: BasePlatform) -> None:
             self.memory.set_faults(FaultControls(writes_per_s=1.0))
             await platform.table.insert_rows((make_put("k", 1),))
--- a/tests/local/test_path.py
+++ b/tests/local/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, from a caller's job to the endpoints and back."""
+"""A job of a caller runs on the endpoints and its answers are returned."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PathTests(AsyncTestCase):
-    def test_answers_come_whole_and_in_task_order(self) -> None:
+    def test_all_answers_are_returned_in_task_order(self) -> None:
         async def run() -> None:
             async with LocalSystem() as system:
                 caller = system.make_caller()
--- a/tests/management/test_command_line.py
+++ b/tests/management/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: checks, errors, exit codes and the operators' subcommands."""
+"""The command line: checks, errors, exit codes and the subcommands of ``dalemast ctl``."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Result:
-    """What a command printed and its exit code."""
+    """Output and exit code of a command."""
 
     def __init__(self, *arguments: str) -> None:
         out, err = io.StringIO(), io.StringIO()
@@ -121,7 +121,7 @@
 
         self.operate(body, entry_count=2)
 
-    def test_status_and_state_for_people_and_scripts(self) -> None:
+    def test_status_is_printed_as_json_and_as_a_table(self) -> None:
         async def body(ctl: Callable[..., Any]) -> None:
             status = await ctl("status")
             self.assertEqual(status.code, 0)
