--- a/dalemast/agent/engine.py
+++ b/dalemast/agent/engine.py
@@ -39,7 +39,7 @@
         self._metrics = metrics
         self._senders: dict[str, MessageSender] = {}
         self._runs: set[asyncio.Task[None]] = set()
-        self._is_collecting = False
+        self._is_collect_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
 
     @property
@@ -74,7 +74,7 @@
         for frame in frames:
             self._metrics.count("frames.resent")
             sender.send(msgspec.json.encode(frame))
-        self._schedule()
+        self._schedule_collect()
         return True
 
     def close_link(self, hello: EntryHello, sender: MessageSender) -> None:
@@ -88,25 +88,25 @@
         self._metrics.count("frames.received")
         self._metrics.count("bytes.received", len(data))
         self._gate.receive(now=clock.monotonic(), owner=owner, frame=_decode_frame(data))
-        self._schedule()
+        self._schedule_collect()
 
     def start_draining(self) -> None:
         """Refuse new starts."""
         self._gate.start_draining(now=clock.monotonic())
-        self._schedule()
+        self._schedule_collect()
 
     def stop_draining(self) -> None:
         """Accept starts again."""
         self._gate.stop_draining()
-        self._schedule()
+        self._schedule_collect()
 
-    def _schedule(self) -> None:
-        if not self._is_collecting:
-            self._is_collecting = True
+    def _schedule_collect(self) -> None:
+        if not self._is_collect_scheduled:
+            self._is_collect_scheduled = True
             asyncio.get_running_loop().call_soon(self._collect)
 
     def _collect(self) -> None:
-        self._is_collecting = False
+        self._is_collect_scheduled = False
         effects = self._gate.collect(now=clock.monotonic())
         for run in effects.runs:
             task = asyncio.create_task(self._run(run))
@@ -132,11 +132,11 @@
         self._metrics.count(f"tasks.{outcome.kind.value}")
         self._metrics.record("endpoint", run.service, outcome.run_ms / 1000.0)
         self._gate.complete(now=clock.monotonic(), outcome=outcome)
-        self._schedule()
+        self._schedule_collect()
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             if self._gate.queued or self._gate.link_count < len(self._gate.owner_names):
                 self._gate.tick(now=clock.monotonic())
-                self._schedule()
+                self._schedule_collect()
--- a/dalemast/entry/callers.py
+++ b/dalemast/entry/callers.py
@@ -101,7 +101,7 @@
         )
         return self._context.signer.sign_ticket(ticket)
 
-    def _name_job(self, number: int) -> str:
+    def _make_job_name(self, number: int) -> str:
         name = JobName(
             address=self._context.address,
             incarnation=self._engine.incarnation,
@@ -109,7 +109,7 @@
         )
         return self._context.signer.sign_job(name)
 
-    async def _submit_here(self, key: SubmissionKey, account: Account) -> JobResult:
+    async def _submit_locally(self, key: SubmissionKey, account: Account) -> JobResult:
         """Start or join a submission that this entry owns."""
         body = self.request.body
         request = read_job(body, account=account.name, limits=self._engine.configuration.limits)
@@ -127,7 +127,7 @@
         return result
 
     def _send_result(self, result: JobResult, next_ticket: str | None) -> None:
-        name = self._name_job(result.job)
+        name = self._make_job_name(result.job)
         if result.error is not None:
             self.send_failure(result.error, run=result.run, job=name, next_ticket=next_ticket)
             return
@@ -136,7 +136,7 @@
         )
         self.send_json(answer)
 
-    async def _wait_here(self, entry: LedgerEntry) -> None:
+    async def _wait_locally(self, entry: LedgerEntry) -> None:
         """Respond to a poll for a job that this entry owns."""
         number = entry.submission.job
         wait_ms = self._get_wait_ms()
@@ -145,7 +145,7 @@
         else:
             result = entry.result
         if result is None:
-            self.send_json(PendingAnswer(job=self._name_job(number)), status=202)
+            self.send_json(PendingAnswer(job=self._make_job_name(number)), status=202)
         else:
             self._send_result(result, None)
 
@@ -221,7 +221,7 @@
             await self._forward(account, ticket.address, ticket.incarnation, {TICKET_HEADER: text})
             return
         self._check_ticket_life(ticket)
-        result = await self._submit_here(TicketKey(number=ticket.number), account)
+        result = await self._submit_locally(TicketKey(number=ticket.number), account)
         self._send_result(result, self._make_ticket(account.name))
 
     async def _submit_claim(self, account: Account, text: str) -> None:
@@ -232,7 +232,7 @@
             )
         key = ClaimKey(account=account.name, key=text)
         if self._engine.ledger.is_claim_known(key):
-            result = await self._submit_here(key, account)
+            result = await self._submit_locally(key, account)
             self._send_result(result, self._make_ticket(account.name))
             return
         # Validate the job first, so that an invalid one causes no write to the table.
@@ -242,7 +242,7 @@
             await self._forward_claim(account, claim, text)
             return
         self._engine.ledger.check_claim(key)
-        result = await self._submit_here(key, account)
+        result = await self._submit_locally(key, account)
         self._send_result(result, self._make_ticket(account.name))
 
     async def _forward_claim(self, account: Account, claim: ClaimOutcome, text: str) -> None:
@@ -276,7 +276,7 @@
             wait_ms = self._get_wait_ms()
             await self._forward("GET", account, name, f"{text}?wait_ms={wait_ms}")
             return
-        await self._wait_here(_find_job(self._engine, name, account.name))
+        await self._wait_locally(_find_job(self._engine, name, account.name))
 
     async def delete(self, text: str) -> None:
         """Cancel a job."""
@@ -336,7 +336,7 @@
         else:
             key = ClaimKey(account=account.name, key=headers.get(KEY_HEADER, ""))
             self._engine.ledger.check_claim(key)
-        self._send_result(await self._submit_here(key, account), None)
+        self._send_result(await self._submit_locally(key, account), None)
 
 
 class PeerJobHandler(_PeerHandler):
@@ -346,7 +346,7 @@
         """Return a job's result, waiting up to ``wait_ms`` for it."""
         account = self._get_account()
         name = self._context.signer.read_job(text, account=account.name)
-        await self._wait_here(_find_job(self._engine, name, account.name))
+        await self._wait_locally(_find_job(self._engine, name, account.name))
 
     async def delete(self, text: str) -> None:
         """Cancel a job."""
--- a/dalemast/entry/engine.py
+++ b/dalemast/entry/engine.py
@@ -73,7 +73,7 @@
         )
         self._senders: dict[str, Sender] = {}
         self._waiters: dict[int, set[asyncio.Future[JobResult]]] = {}
-        self._is_collecting = False
+        self._is_collect_scheduled = False
         self._ticker: asyncio.Task[None] | None = None
         self._on_configuration: list[Callable[[], None]] = []
 
@@ -123,7 +123,7 @@
         self._owner.apply_configuration()
         for callback in self._on_configuration:
             callback()
-        self._schedule()
+        self._schedule_collect()
         return True
 
     def set_membership(self, *, entries: int, leaving_workers: set[str]) -> None:
@@ -144,13 +144,14 @@
             self.metrics.count(f"submissions.refused.{error.code}")
             raise
         self.metrics.count("submissions.taken")
-        self._schedule()
+        self._schedule_collect()
         return await self.wait(entry)
 
     async def wait(self, entry: LedgerEntry) -> JobResult:
         """Wait for the result of a submission.
 
-        Cancelling the wait does not cancel the job, which other callers may be waiting for.
+        Cancelling the wait cancels the job only if no caller waits for it after the grace period
+        and not all of its tasks have been started.
         """
         if entry.result is not None:
             return entry.result
@@ -192,7 +193,7 @@
             return
         self._owner.cancel(job=job, error=CallerGone("all callers disconnected"))
         self.metrics.count("jobs.abandoned")
-        self._schedule()
+        self._schedule_collect()
 
     # Links
 
@@ -204,7 +205,7 @@
         """Register a link whose hello messages have been exchanged."""
         self._senders[worker] = sender
         self._owner.open_link(now=clock.monotonic(), worker=worker, hello=hello)
-        self._schedule()
+        self._schedule_collect()
 
     def close_link(self, worker: str) -> None:
         """Unregister a closed link."""
@@ -215,7 +216,7 @@
         """Treat an unreachable worker's tasks as lost."""
         self.metrics.count("workers.lost")
         self._owner.lose_worker(worker=worker)
-        self._schedule()
+        self._schedule_collect()
 
     def receive(self, worker: str, data: bytes | str) -> None:
         """Handle a message from an agent."""
@@ -228,17 +229,17 @@
             if not frame.answers:
                 self.metrics.count("frames.received.refusals")
         self._owner.receive(now=clock.monotonic(), worker=worker, frame=frame)
-        self._schedule()
+        self._schedule_collect()
 
     # Event loop
 
-    def _schedule(self) -> None:
-        if not self._is_collecting:
-            self._is_collecting = True
+    def _schedule_collect(self) -> None:
+        if not self._is_collect_scheduled:
+            self._is_collect_scheduled = True
             asyncio.get_running_loop().call_soon(self._collect)
 
     def _collect(self) -> None:
-        self._is_collecting = False
+        self._is_collect_scheduled = False
         now = clock.monotonic()
         effects = self._owner.collect(now=now)
         for worker, frame in effects.frames:
@@ -273,4 +274,4 @@
             now = clock.monotonic()
             self._owner.tick(now=now)
             self.ledger.tick(now=now)
-            self._schedule()
+            self._schedule_collect()
--- a/dalemast/entry/links.py
+++ b/dalemast/entry/links.py
@@ -30,7 +30,10 @@
 
 
 class LinkSupervisor:
-    """Maintains a link to each worker in this entry's view."""
+    """Maintains links to this entry's view: the workers that it may use.
+
+    If there are more entries than a worker accepts links, each entry's view is a subset.
+    """
 
     def __init__(
         self,
@@ -57,7 +60,7 @@
         engine.on_configuration(self.update)
 
     def set_entries(self, entries: frozenset[str]) -> None:
-        """Set the names of the live entries, which determine the view of each of them."""
+        """Set the names of the live entries, among which the workers' links are divided."""
         if entries != self._entries:
             self._entries = entries
             self.update()
--- a/dalemast/hosting/memory.py
+++ b/dalemast/hosting/memory.py
@@ -32,7 +32,7 @@
 
 
 class _FaultInjector:
-    """Applies faults and rate limits to the calls of both services."""
+    """Applies faults and rate limits to the calls of both services, and counts the calls."""
 
     def __init__(self, *, clock: Callable[[], float]) -> None:
         self.clock = clock
--- a/dalemast/http/connections.py
+++ b/dalemast/http/connections.py
@@ -66,7 +66,7 @@
             self._transport.abort()
 
     def mark_end_handled(self) -> bool:
-        """Mark the connection's end as handled; return False if it already was."""
+        """Mark the connection's end as handled; return whether it was unhandled before."""
         is_first = not self._is_end_handled
         self._is_end_handled = True
         return is_first
--- a/dalemast/management/commands/demo.py
+++ b/dalemast/management/commands/demo.py
@@ -38,12 +38,12 @@
         started_at = clock.monotonic()
         local = LocalProcess(callers=FREE_ADDRESS, operators=FREE_ADDRESS)
         await local.start()
-        ideal_s = await self._measure_direct_call(local)
+        direct_s = await self._measure_direct_call(local)
         caller = Caller(addresses=(local.callers_address,), token="demo-token")
         await caller.fetch_tickets(1)
         answer = await caller.submit(self._make_job())
         print_answer(answer)
-        print_figures(local, answer, ideal_s, clock.monotonic() - started_at)
+        print_figures(local, answer, direct_s, clock.monotonic() - started_at)
         await local.drain()
         await local.close()
         is_complete = answer.is_complete and len(answer.body["answers"]) == self.tables
@@ -86,7 +86,7 @@
 
 
 def print_figures(
-    local: LocalProcess, answer: CallerAnswer, ideal_s: float, total_s: float
+    local: LocalProcess, answer: CallerAnswer, direct_s: float, total_s: float
 ) -> None:
     """Print the response time, its ratio to a direct call, and the number of messages."""
     counters = local.entries[0].engine.metrics.dump().counters
@@ -95,10 +95,10 @@
     other = counters.get("frames.sent.other", 0) + counters.get("frames.received.other", 0)
     rows = [
         ("response time", f"{answer.elapsed_s * 1000:.1f} ms"),
-        ("ideal: one draw, no dispatch", f"{ideal_s * 1000:.1f} ms"),
-        ("response time / ideal", f"{answer.elapsed_s / ideal_s:.2f}"),
+        ("direct call of an endpoint", f"{direct_s * 1000:.1f} ms"),
+        ("response time / direct call", f"{answer.elapsed_s / direct_s:.2f}"),
         ("messages with the caller", "1 request, 1 answer (and 2 for the first ticket)"),
-        ("messages inside", f"{starts} starts, {answers} answers, {other} others"),
+        ("internal messages", f"{starts} starts, {answers} answers, {other} others"),
         ("from start to answer", f"{total_s:.2f} s"),
     ]
     print_table(("figure", "value"), rows)
