--- a/dalemast/observability/logs.py
+++ b/dalemast/observability/logs.py
@@ -38,7 +38,7 @@
 
 
 _message_numbers = itertools.count(1)
-_process_id = secrets.token_hex(8)
+_run_id = secrets.token_hex(8)
 
 
 def set_up_logs(*, level: str, destination: str, process: str) -> None:
@@ -108,7 +108,7 @@
         return
     _State.output(
         {
-            "task_uuid": f"{_process_id}-{next(_message_numbers)}",
+            "task_uuid": f"{_run_id}-{next(_message_numbers)}",
             "task_level": [1],
             "timestamp": time.time(),
             "message_type": event,
