--- a/tests/management/test_command_line.py
+++ b/tests/management/test_command_line.py
@@ -1,4 +1,4 @@
-"""The command line: checks, errors, exit codes and the operators' subcommands."""
+"""The command line: checks, errors, exit codes and the subcommands of ``dalemast ctl``."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Result:
-    """What a command printed and its exit code."""
+    """Output and exit code of a command."""
 
     def __init__(self, *arguments: str) -> None:
         out, err = io.StringIO(), io.StringIO()
@@ -31,13 +31,13 @@
         self.err = err.getvalue()
 
 
-# text of the file, exit code, what the output must contain
+# content of the file, exit code, expected part of the output
 CHECKED_FILES = [
     ("name: entry-7\ndata_centre: waco\npolicy: {placement: packing}\n", 0, "good (entry)"),
     ("worker: w\nslots: 4\nendpoint_url: http://127.0.0.1:1/\n", 0, "good (agent)"),
     ("accounts:\n  - name: a\n", 0, "good (accounts)"),
     ("name: [\n", 2, "E1801"),
-    ("name: a\nname: b\n", 2, "stands twice"),
+    ("name: a\nname: b\n", 2, "appears twice"),
     ("name: a\nplacement: packing\npeers: []\n", 2, "unknown field"),
     ("name: 5\npeers: []\n", 2, "$.name"),
     ("peers: []\ncallers: {address: localhost}\n", 2, "dalemast.E001"),
@@ -121,7 +121,7 @@
 
         self.operate(body, entry_count=2)
 
-    def test_status_and_state_for_people_and_scripts(self) -> None:
+    def test_status_is_printed_as_json_and_as_a_table(self) -> None:
         async def body(ctl: Callable[..., Any]) -> None:
             status = await ctl("status")
             self.assertEqual(status.code, 0)
