--- a/dalemast/fleet/address_book.py
+++ b/dalemast/fleet/address_book.py
@@ -27,7 +27,7 @@
         self._own_address = own_address
         self._members: dict[str, Member | None] = {}
         self._listeners: list[Callable[[str], None]] = []
-        self.count_in(Metrics())
+        self.set_metrics(Metrics())
 
     @property
     def members(self) -> list[Member]:
@@ -39,7 +39,7 @@
         """All addresses."""
         return list(self._members)
 
-    def count_in(self, metrics: Metrics) -> None:
+    def set_metrics(self, metrics: Metrics) -> None:
         """Count here what is not learned."""
         self._refusals = RefusalLog(event=FOREIGN_MEMBER, metrics=metrics)
 
@@ -52,7 +52,7 @@
         for address in addresses:
             self._add(address, None)
 
-    def learn(self, members: Iterable[Member]) -> list[Member]:
+    def add_members(self, members: Iterable[Member]) -> list[Member]:
         """Take in entries; return those at addresses that were not known.
 
         Which life of an entry answers at an address is told by its own hello alone: hearsay may be
--- a/dalemast/fleet/agent/dialling.py
+++ b/dalemast/fleet/agent/dialling.py
@@ -17,9 +17,9 @@
 
 __all__ = ["OwnerDialling"]
 
-REVIEW_PAUSE_S = 1.0
+REVIEW_INTERVAL_S = 1.0
 """Pause between two reviews of the choice: about the time in which a lost entry is back."""
-UNREACHABLE_S = 6.0
+UNREACHABLE_AFTER_S = 6.0
 """An entry that can't be dialled for this long gives its place to another: longer than cuts last,
 so that no link is moved for a passing fault."""
 
@@ -57,7 +57,7 @@
 
     def review(self, *, busy: Collection[str], is_linked: bool, now: float) -> None:
         """Dial what is wanted by now and end other links, but those of ``busy`` entries."""
-        if now - self._reviewed_at < REVIEW_PAUSE_S:
+        if now - self._reviewed_at < REVIEW_INTERVAL_S:
             return
         self._reviewed_at = now
         if len(self._book.addresses) <= self._bounds.total:
@@ -110,7 +110,7 @@
 
     def _is_unreachable(self, address: str, now: float) -> bool:
         dialer = self._dialers.get(address)
-        return dialer is not None and dialer.is_failing(now, longer_than_s=UNREACHABLE_S)
+        return dialer is not None and dialer.is_failing(now, longer_than_s=UNREACHABLE_AFTER_S)
 
     def _dial(self, address: str) -> None:
         if address in self._dialers:
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -22,9 +22,9 @@
 from dalemast.fleet.agent.dialling import OwnerDialling
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.relay import EntryRelay
-from dalemast.fleet.agent.reports import WorkerReports, make_leaving, to_row, to_want
+from dalemast.fleet.agent.reports import WorkerReports, make_departure, to_capacity_request, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.crashes import CrashMemory, make_crashed
+from dalemast.fleet.crashes import CrashMemory, make_worker_crashed
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
     AgentHello,
@@ -71,7 +71,7 @@
         metrics: Metrics,
         start: Callable[[StartRequest], None],
         stop: Callable[[RunId, str], None],
-        take_want: Callable[[str, Want | None, float], None],
+        handle_capacity_request: Callable[[str, Want | None, float], None],
         check_pause: Callable[[], bool],
     ) -> None:
         self._name = name
@@ -83,7 +83,7 @@
         self._times = times
         self._start = start
         self._stop = stop
-        self._take_want = take_want
+        self._handle_capacity_request = handle_capacity_request
         self._check_pause = check_pause
         self._dialling = OwnerDialling(
             name=name,
@@ -128,14 +128,14 @@
             return
         for message in messages:
             self._take(session, message)
-        if session.said_at > clock.monotonic():
+        if session.frame_sent_at > clock.monotonic():
             # This host's clock has lost time, as in a suspended one: no age of a word is known.
             log_event("link:clock-lost-time", entry=session.owner)
             session.link.reset()
             self.end_session(session)
             return
         # After the stops of this frame, which it does not keep alive.
-        self._supervisor.hear(session.owner, said_at=session.said_at)
+        self._supervisor.hear(session.owner, said_at=session.frame_sent_at)
 
     def end_session(self, session: OwnerSession) -> None:
         """Note that a link has ended; its owner's runs go on for as long as patience lasts."""
@@ -143,18 +143,20 @@
             del self._sessions[session.owner]
             name = session.member.name if session.member else ""
             log_event("entry:lost", entry=name, runs=self._count_runs(session))
-            self._relay.tell_changes()
+            self._relay.report_changes()
 
-    def report_crash(self, worker: str, tasks: tuple[CrashedTask, ...], *, is_seen: bool) -> None:
+    def report_crash(
+        self, worker: str, tasks: tuple[CrashedTask, ...], *, is_observed: bool
+    ) -> None:
         """Tell all entries what ran on a life of the worker that has crashed, or fallen silent."""
-        crashed = make_crashed(worker, tasks, is_seen=is_seen)
+        crashed = make_worker_crashed(worker, tasks, is_observed=is_observed)
         self._crashes.add(crashed)
         for session in self._sessions.values():
             session.link.send(crashed)
 
-    def note_worker_there(self, life: str) -> None:
+    def record_worker_alive(self, life: str) -> None:
         """Note that a life of the worker answers, so that it has not ended."""
-        self._crashes.note_there(life)
+        self._crashes.record_alive(life)
 
     def report_end(self, report: ReportEnd) -> None:
         """Tell an owner how a run ended."""
@@ -182,12 +184,12 @@
             )
         )
 
-    def report_leaving(self, report: ReportLeaving) -> None:
+    def report_departure(self, report: ReportLeaving) -> None:
         """Tell all entries how long the worker stays at the least."""
         for session in self._sessions.values():
-            session.link.send(make_leaving(report.in_s))
+            session.link.send(make_departure(report.in_s))
 
-    def report_cut_short(self, report: ReportCutShort) -> None:
+    def report_departure_risk(self, report: ReportCutShort) -> None:
         """Tell an owner of a run that the worker can't end before it leaves."""
         session = self._sessions.get(report.owner)
         if session is None:
@@ -200,7 +202,7 @@
             )
         )
 
-    def mark_room(self) -> None:
+    def mark_capacity_changed(self) -> None:
         """Note that the room has changed; each entry is told when its pause is over."""
         self._reports.note_change(now=clock.monotonic())
 
@@ -224,19 +226,23 @@
         self._reports.send_due(now=now)
         for session in list(self._sessions.values()):
             is_busy = session.owner in busy
-            pause_s = self._times.beat_s if is_busy else self._times.idle_beat_s
-            if now - session.clock_asked_at >= session.get_clock_pause_s():
-                session.ask_clock()
+            pause_s = (
+                self._times.heartbeat_interval_s
+                if is_busy
+                else self._times.idle_heartbeat_interval_s
+            )
+            if now - session.clock_requested_at >= session.get_clock_interval_s():
+                session.request_clock()
             elif now - session.link.sent_at >= pause_s:
                 session.link.send(LinkHeartbeat())
             # A link that carries runs may be dead one by one, with the owner alive: its runs are
             # stopped anyway after this time, and only a new link gives it the worker back.
             is_followed = session.owner in followed
-            limit_s = self._times.silence_s if is_followed else self._times.idle_silence_s
-            if session.has_missed_probe(now=now) or now - session.link.heard_at > limit_s:
+            limit_s = self._times.link_timeout_s if is_followed else self._times.idle_link_timeout_s
+            if session.has_missed_probe(now=now) or now - session.link.received_at > limit_s:
                 session.link.reset()
                 self.end_session(session)
-        self._relay.tell_changes()
+        self._relay.report_changes()
 
     def _review_links(self, busy: set[str], now: float) -> None:
         """Let the choice of entries be reviewed; those whose runs go on here keep their links."""
@@ -250,17 +256,17 @@
     def _take(self, session: OwnerSession, message: EntryMessage) -> None:
         match message:
             case SentAt():
-                session.note_said(message)
+                session.record_sent_at(message)
             case ClockResponse():
-                session.take_clock(message)
+                session.handle_clock(message)
             case EntryHello():
                 self._greet(session, message)
             case EvacuationUpdate():
                 self._take_evacuations(session, message)
             case MemberUpdate():
-                self._book.learn(to_member(row) for row in message.members)
+                self._book.add_members(to_member(row) for row in message.members)
             case Reconciled():
-                session.note_reconciled(message)
+                session.handle_reconciled(message)
             case Starts():
                 self._take_starts(session, message)
             case Stop():
@@ -268,18 +274,24 @@
                 run_id = RunId(row.job, TaskKey(row.step, row.position), row.run)
                 self._stop(run_id, session.owner)
             case CapacityRequestUpdate():
-                self._reports.take_want(session, message.want, now=clock.monotonic())
-                self._take_want(session.owner, session.audience.want, session.said_at)
+                self._reports.handle_capacity_request(
+                    session, message.request, now=clock.monotonic()
+                )
+                self._handle_capacity_request(
+                    session.owner, session.subscriber.want, session.frame_sent_at
+                )
             case ReachableEntriesRequest():
-                self._relay.take_ask(session, message)
+                self._relay.handle_request(session, message)
             case Relayed() | RouteEnded():
-                self._relay.pass_on(session, message)
+                self._relay.forward(session, message)
             case LinkHeartbeat() | Goodbye():
                 pass
 
     def _take_evacuations(self, session: OwnerSession, news: EvacuationUpdate) -> None:
         """Take in what an entry has heard; one that is behind hears it from other entries."""
-        self._evacuations.take(news, source=session.member.name if session.member else "entry")
+        self._evacuations.handle_update(
+            news, source=session.member.name if session.member else "entry"
+        )
 
     def _greet(self, session: OwnerSession, hello: EntryHello) -> None:
         session.member = to_member(hello.member)
@@ -290,8 +302,8 @@
             # What is still under way there is missing in what this link tells of runs.
             before.link.reset()
         self._end_earlier_lives(session.member)
-        self._book.learn([session.member])
-        session.ask_clock()
+        self._book.add_members([session.member])
+        session.request_clock()
         session.link.send(
             AgentHello(
                 name=self._name,
@@ -318,7 +330,7 @@
                 self.end_session(session)
 
     def _take_starts(self, session: OwnerSession, starts: Starts) -> None:
-        session.audience.want = to_want(starts.want)
+        session.subscriber.want = to_capacity_request(starts.request)
         for row in starts.tasks:
             session.seen = max(session.seen, row.number)
             self._start(
@@ -329,9 +341,9 @@
                     resources=Resources(cpu=row.cpu, memory_mb=row.memory_mb, gpu=row.gpu),
                     expected_s=row.expected_s,
                     number=row.number,
-                    said_at=session.said_at,
+                    said_at=session.frame_sent_at,
                     priority=starts.priority,
-                    spare_s=None if row.spare_s < 0 else row.spare_s,
+                    spare_s=None if row.restart_slack_s < 0 else row.restart_slack_s,
                 )
             )
 
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -25,7 +25,7 @@
 
 __all__ = ["FleetAgentProcess"]
 
-SEEDS_PATIENCE_S = 2.0
+SEEDS_TIMEOUT_S = 2.0
 """How long the seeds are tried before the store is read for other entries."""
 STORE_RETRY_S = 3.0
 """Pause between two such readings; each is priced."""
@@ -39,7 +39,7 @@
     def __init__(self, *, settings: FleetAgentSettings) -> None:
         super().__init__(settings=settings, book=AddressBook())
         limits = SupervisorLimits(
-            owner_patience_s=self._times.owner_patience_s,
+            owner_patience_s=self._times.owner_timeout_s,
             lease_s=self._times.lease_s,
             stop_s=self._times.stop_s,
         )
@@ -64,7 +64,9 @@
             metrics=self._metrics,
             start=self._worker.start,
             stop=self._worker.stop,
-            take_want=self._worker.take_want if settings.load.preempts else _pass_over,
+            handle_capacity_request=self._worker.handle_capacity_request
+            if settings.load.preempts
+            else _pass_over,
             check_pause=self._check_pause,
         )
         self._worker.set_owners(self._owners)
@@ -74,7 +76,7 @@
             observer=self._worker,
             metrics=self._metrics,
         )
-        self._pauses = PauseWatch(limit_s=self._times.owner_patience_s)
+        self._pauses = PauseWatch(limit_s=self._times.owner_timeout_s)
 
     async def start(self) -> None:
         """Listen to the worker, dial the entries."""
@@ -154,12 +156,12 @@
     async def _find_entries(self) -> None:
         """Read the store for entries while none is in reach."""
         while True:
-            await asyncio.sleep(SEEDS_PATIENCE_S)
+            await asyncio.sleep(SEEDS_TIMEOUT_S)
             if len(self._owners):
                 continue
             members = await self._store.list_members()
             log_event("entries:read", entries=len(members))
-            self._book.learn(members)
+            self._book.add_members(members)
             await asyncio.sleep(STORE_RETRY_S)
 
 
--- a/dalemast/fleet/agent/relay.py
+++ b/dalemast/fleet/agent/relay.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeardEntries:
+class ReachableState:
     """The owners that are linked, and the jobs that still run for others."""
 
     owners: frozenset[str] = frozenset()
@@ -35,12 +35,12 @@
     def __init__(self, *, sessions: Mapping[str, OwnerSession], supervisor: Supervisor) -> None:
         self._sessions = sessions
         self._supervisor = supervisor
-        self._told = HeardEntries()
+        self._told = ReachableState()
         """What was so when entries were told last."""
 
-    def take_ask(self, session: OwnerSession, ask: ReachableEntriesRequest) -> None:
+    def handle_request(self, session: OwnerSession, ask: ReachableEntriesRequest) -> None:
         """Answer an entry now and from now on, and find out whether its suspects are there."""
-        session.entries_asked = ask.number
+        session.entries_request = ask.number
         now = clock.monotonic()
         for owner in ask.suspects:
             suspect = self._sessions.get(owner)
@@ -48,7 +48,7 @@
                 suspect.probe(now=now)
         self._tell(session, self._hear())
 
-    def pass_on(self, session: OwnerSession, message: Relayed | RouteEnded) -> None:
+    def forward(self, session: OwnerSession, message: Relayed | RouteEnded) -> None:
         """Pass a frame or the end of a route on to its receiver."""
         receiver = self._sessions.get(message.receiver)
         if message.sender != session.owner:
@@ -62,27 +62,27 @@
             )
             session.link.send(ended)
 
-    def tell_changes(self) -> None:
+    def report_changes(self) -> None:
         """Tell the entries that have asked, if something is other than they were told last."""
         heard = self._hear()
         if heard == self._told:
             return
         self._told = heard
         for session in self._sessions.values():
-            if session.entries_asked is not None:
+            if session.entries_request is not None:
                 self._tell(session, heard)
 
-    def _hear(self) -> HeardEntries:
+    def _hear(self) -> ReachableState:
         runs = self._supervisor.runs.values()
         left = {
             run.request.run_id.job_id for run in runs if run.request.owner not in self._sessions
         }
         left.update(run_id.job_id for run_id in self._supervisor.strays)
-        return HeardEntries(owners=frozenset(self._sessions), left_jobs=frozenset(left))
+        return ReachableState(owners=frozenset(self._sessions), left_jobs=frozenset(left))
 
-    def _tell(self, session: OwnerSession, heard: HeardEntries) -> None:
+    def _tell(self, session: OwnerSession, heard: ReachableState) -> None:
         news = ReachableEntries(
-            number=session.entries_asked or 0,
+            number=session.entries_request or 0,
             entries=tuple(sorted(heard.owners - {session.owner})),
             left_jobs=tuple(sorted(heard.left_jobs)),
         )
--- a/dalemast/fleet/agent/reports.py
+++ b/dalemast/fleet/agent/reports.py
@@ -16,12 +16,12 @@
     CapacityRequestRow,
     RunRow,
     WorkerLeaving,
-    WorkerPace,
     WorkerReport,
+    WorkerSlowness,
 )
 from dalemast.observability import Metrics, log_event
 
-__all__ = ["WorkerReports", "make_leaving", "to_row", "to_want"]
+__all__ = ["WorkerReports", "make_departure", "to_row", "to_capacity_request"]
 
 STAYS = -1.0
 """How a message says that a worker stays after all."""
@@ -37,7 +37,7 @@
     )
 
 
-def to_want(row: CapacityRequestRow | None) -> Want | None:
+def to_capacity_request(row: CapacityRequestRow | None) -> Want | None:
     """Return what an entry's message says that it lacks room for."""
     if row is None:
         return None
@@ -45,7 +45,7 @@
     return Want(rank=row.rank, cpu=row.cpu, preempts_from=preempts_from)
 
 
-def make_leaving(in_s: float | None) -> WorkerLeaving:
+def make_departure(in_s: float | None) -> WorkerLeaving:
     """Return how a message tells the least time that the worker has left; None if it stays."""
     return WorkerLeaving(in_s=STAYS if in_s is None else round(in_s, 3))
 
@@ -81,7 +81,7 @@
     def greet(self, session: OwnerSession, *, now: float) -> None:
         """Tell an entry that was just met of the worker and its room."""
         self._tell_worker(session)
-        session.audience.hasten()
+        session.subscriber.hasten()
         self.send_due(now=now)
 
     def note_end(self, session: OwnerSession) -> None:
@@ -92,30 +92,32 @@
         """Note that the room has changed, and send the reports that are due."""
         self.refresh(now=now)
         for session in self._sessions.values():
-            session.audience.note_change()
+            session.subscriber.note_change()
         self._offer_room()
         self.send_due(now=now)
 
-    def take_want(
+    def handle_capacity_request(
         self, session: OwnerSession, want: CapacityRequestRow | None, *, now: float
     ) -> None:
         """Take in what an entry lacks room for; if it wants none, the next one is offered it."""
-        session.audience.take_want(to_want(want), hears_coming=self._policy.shares_demand)
+        session.subscriber.take_want(
+            to_capacity_request(want), hears_coming=self._policy.shares_demand
+        )
         self._offer_room()
         self.send_due(now=now)
 
     def _offer_room(self) -> None:
         """Let one entry hear at once: the neediest, or else the one whose run has ended."""
         ended_for, self._ended_for = self._ended_for, None
-        audiences = [session.audience for session in self._sessions.values()]
+        audiences = [session.subscriber for session in self._sessions.values()]
         for owner in self._supervisor.takeovers.take_ready():
             # Runs were stopped for this entry, and others are told of less meanwhile.
             ready = self._sessions.get(owner)
             if ready is not None:
-                ready.audience.hasten()
+                ready.subscriber.hasten()
         first = find_neediest(audiences, free_cpu=self._supervisor.get_free().cpu)
         if first is None and ended_for is not None:
-            first = ended_for.audience
+            first = ended_for.subscriber
         if first is not None and first.is_due:
             first.hasten()
 
@@ -128,16 +130,16 @@
 
     def send_due(self, *, now: float) -> None:
         """Send the room reports that are due."""
-        due = [session for session in self._sessions.values() if session.audience.is_due]
+        due = [session for session in self._sessions.values() if session.subscriber.is_due]
         if not due:
             return
         if self._policy.shares_demand:
-            due.sort(key=lambda session: get_turn(session.audience))
+            due.sort(key=lambda session: get_turn(session.subscriber))
         told: list[OwnerSession] = []
         near = sum(session.is_near for session in self._sessions.values())
         far = len(self._sessions) - near
         for session in due:
-            audience = session.audience
+            audience = session.subscriber
             pause_s = get_room_pause(
                 is_near=session.is_near,
                 owners=near if session.is_near else far,
@@ -147,7 +149,7 @@
                 self._send_room(session, now)
                 told.append(session)
         if len(told) > 1:
-            told[0].audience.note_first(now=now)
+            told[0].subscriber.note_first(now=now)
 
     def _announce_worker(self) -> None:
         """Tell all entries of the worker's life if it or its room has changed, or become known."""
@@ -157,7 +159,7 @@
         self._announced = known
         for session in self._sessions.values():
             self._tell_worker(session)
-            session.audience.hasten()
+            session.subscriber.hasten()
 
     def _announce_speed(self, now: float) -> None:
         """Tell all entries how fast the worker is, if that is known by now or has changed."""
@@ -184,7 +186,7 @@
             return
         self._was_accepting = is_accepting
         for session in self._sessions.values():
-            session.audience.hasten()
+            session.subscriber.hasten()
 
     def _send_room(self, session: OwnerSession, now: float) -> None:
         if self._policy.shares_demand:
@@ -204,11 +206,11 @@
 
     def _send_coming(self, session: OwnerSession, now: float) -> None:
         """Tell an entry that lacks room when some comes free, and once when none does any more."""
-        is_content = session.audience.is_content
+        is_content = session.subscriber.is_content
         rows = () if is_content else self._get_coming_rows(now)
-        if not rows and not session.has_coming:
+        if not rows and not session.has_releases:
             return
-        session.has_coming = bool(rows)
+        session.has_releases = bool(rows)
         session.link.send(CapacityReleases(rows=rows))
         self._metrics.count("room.coming-told")
 
@@ -230,7 +232,7 @@
 
     def _tell_worker(self, session: OwnerSession) -> None:
         """Tell an entry of the worker, and which of its runs are there."""
-        number = session.begin_news()
+        number = session.begin_report()
         life = self._supervisor.life
         if life is None or not self._supervisor.has_settled:
             news = WorkerReport(
@@ -252,7 +254,7 @@
         session.link.send(news)
         left_s = self._supervisor.get_left_s(now=clock.monotonic())
         if left_s is not None:
-            session.link.send(make_leaving(left_s))
+            session.link.send(make_departure(left_s))
         if self._policy.learns_speeds:
             self._tell_speed(session)
 
@@ -260,4 +262,4 @@
         """Tell an entry the worker's speed as it was told last, so that all believe alike."""
         speed = self._supervisor.speeds.told
         if speed is not None:
-            session.link.send(WorkerPace(slowness=speed.slowness, runs=speed.runs))
+            session.link.send(WorkerSlowness(slowness=speed.slowness, runs=speed.runs))
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -27,21 +27,21 @@
     list_crashed,
 )
 from dalemast.fleet.agent.owners import OwnerLinks
-from dalemast.fleet.agent.stops import STOP_RETRY_S, StopBook
+from dalemast.fleet.agent.stops import STOP_RETRY_S, StopTracker
 from dalemast.fleet.base import BaseWorkerDriver, WorkerGone, WorkerReplaced, WorkerUnanswered
 from dalemast.observability import Metrics, log_event
 
 __all__ = ["WorkerLoop"]
 
-REFUSED_PAUSE_S = 0.02
+REFUSED_RETRY_S = 0.02
 """Pause after a connection was refused, before it is tried once more."""
-STRAYS_PAUSE_S = 0.02
+ORPHANS_POLL_INTERVAL_S = 0.02
 """Pause between looks while nothing of ours runs: something that was told to stop does."""
-SILENT_LOOKS = 2
+LOGGED_UNANSWERED_POLLS = 2
 """Looks in a row without an answer that are worth a line in the log."""
-IDLE_PAUSE_S = 0.5
+MAX_IDLE_SLEEP_S = 0.5
 """Longest sleep while nothing runs; a start wakes the loop."""
-IDLE_LOOK_S = 2.0
+IDLE_POLL_INTERVAL_S = 2.0
 """Pause between looks while nothing runs. They follow the worker's clock: a lease is shorter by 2 %
 of the time since it was read last, 0.04 s at the most so."""
 MAX_LOGGED_TASKS = 20
@@ -70,7 +70,7 @@
         self._looked_at = float("-inf")
         self._answered_at = float("-inf")
         """When the last call was made that the worker has answered."""
-        self._stops = StopBook()
+        self._stops = StopTracker()
 
     def set_owners(self, owners: OwnerLinks) -> None:
         """Take who is told of ends and room."""
@@ -126,7 +126,7 @@
         """Take an owner's stop."""
         self.apply(self._supervisor.stop(run_id, owner=owner, now=clock.monotonic()))
 
-    def take_want(self, owner: str, want: Want | None, said_at: float) -> None:
+    def handle_capacity_request(self, owner: str, want: Want | None, said_at: float) -> None:
         """Make room for an owner that asks for it, or give back what was kept for it."""
         now = clock.monotonic()
         if want is None:
@@ -153,14 +153,14 @@
                 case ReportSlow():
                     self._owners.report_slow(action)
                 case ReportLeaving():
-                    self._owners.report_leaving(action)
+                    self._owners.report_departure(action)
                 case ReportCutShort():
                     self._metrics.count("runs.cut-short")
-                    self._owners.report_cut_short(action)
+                    self._owners.report_departure_risk(action)
                 case ReportRoom():
                     is_room_due = True
         if is_room_due:
-            self._owners.mark_room()
+            self._owners.mark_capacity_changed()
         if self._supervisor.has_work:
             self._wake.set()
 
@@ -178,18 +178,20 @@
             if not self._is_look_due():
                 self._wake.clear()
                 try:
-                    await asyncio.wait_for(self._wake.wait(), IDLE_PAUSE_S)
+                    await asyncio.wait_for(self._wake.wait(), MAX_IDLE_SLEEP_S)
                 except TimeoutError:
                     continue
                 continue
-            await self._look()
+            await self._poll()
 
     def _is_look_due(self) -> bool:
         if self._supervisor.life is None:
             return False
-        return self._supervisor.has_work or clock.monotonic() - self._looked_at > IDLE_LOOK_S
+        return (
+            self._supervisor.has_work or clock.monotonic() - self._looked_at > IDLE_POLL_INTERVAL_S
+        )
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         assert self._owners is not None
         is_waiting = bool(self._supervisor.runs)
         self._looked_at = clock.monotonic()
@@ -216,16 +218,16 @@
         self._refused = 0
         life = self._supervisor.life
         if life is not None:
-            self._owners.note_worker_there(life.id)
+            self._owners.record_worker_alive(life.id)
         actions = self._supervisor.look(look.running, look.ended, asked_at=look.asked_at, now=now)
         self.apply(actions)
         if not is_waiting and self._supervisor.has_work:
-            await asyncio.sleep(STRAYS_PAUSE_S)
+            await asyncio.sleep(ORPHANS_POLL_INTERVAL_S)
 
     def _note_silence(self) -> None:
         if self._looks.shows_silence(now=clock.monotonic()):
             self.apply(self._supervisor.note_silence())
-        if self._looks.unanswered == SILENT_LOOKS:
+        if self._looks.unanswered == LOGGED_UNANSWERED_POLLS:
             log_event("worker:silent", runs=len(self._supervisor.runs))
 
     def _give_up_lapsed(self) -> None:
@@ -237,7 +239,7 @@
         """A refused connection may be a reset in passing: only two in a row end the life."""
         self._refused += 1
         if self._refused < 2:
-            await asyncio.sleep(REFUSED_PAUSE_S)
+            await asyncio.sleep(REFUSED_RETRY_S)
             return
         log_event("worker:refused", reason=reason)
         self._refused = 0
@@ -270,9 +272,9 @@
             # Before the ends of the runs, which let their owners start the tasks anew. Where the
             # worker has answered nothing for a lease, as this process stood still, they may have
             # lapsed before.
-            is_seen = has_crashed and now - self._answered_at <= self._supervisor.lease_s
-            tasks = list_crashed(runs, ended_at=now if is_seen else None)
-            self._owners.report_crash(life.id, tasks, is_seen=is_seen)
+            is_observed = has_crashed and now - self._answered_at <= self._supervisor.lease_s
+            tasks = list_crashed(runs, ended_at=now if is_observed else None)
+            self._owners.report_crash(life.id, tasks, is_observed=is_observed)
         log_event(
             "worker:gone",
             worker=life.id,
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -103,7 +103,7 @@
     async def run(self, request: JobRequest) -> JobOutcome:
         """Run a job to its end."""
 
-    def leave(self, job_id: str) -> None:
+    def handle_disconnect(self, job_id: str) -> None:
         """Note that the caller of a job has hung up."""
 
 
--- a/dalemast/fleet/crashes.py
+++ b/dalemast/fleet/crashes.py
@@ -9,7 +9,7 @@
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import CrashedRow, WorkerCrashed
 
-__all__ = ["CrashMemory", "make_crashed", "make_unseen", "read_crashed"]
+__all__ = ["CrashMemory", "make_worker_crashed", "make_presumed_crashed", "read_crashed_tasks"]
 
 MAX_CRASHES = 32
 """Crashes that an agent remembers: a worker that each of its lives loses after three seconds comes
@@ -35,7 +35,7 @@
         self._drop(crashed.worker)
         self._crashes.append(crashed)
 
-    def note_there(self, life: str) -> None:
+    def record_alive(self, life: str) -> None:
         """Note that a life answers, so that it has not ended if it was silent before."""
         if any(known.worker == life for known in self._crashes):
             self._drop(life)
@@ -45,13 +45,13 @@
         self._crashes = deque(kept, maxlen=MAX_CRASHES)
 
 
-def make_crashed(
-    worker: str, tasks: Iterable[CrashedTask], *, is_seen: bool = True
+def make_worker_crashed(
+    worker: str, tasks: Iterable[CrashedTask], *, is_observed: bool = True
 ) -> WorkerCrashed:
     """Return the message on a crash."""
     return WorkerCrashed(
         worker=worker,
-        is_seen=is_seen,
+        is_observed=is_observed,
         tasks=tuple(
             CrashedRow(
                 job=row.job_id,
@@ -65,13 +65,13 @@
     )
 
 
-def make_unseen(over: RunPresumedOver) -> WorkerCrashed:
+def make_presumed_crashed(over: RunPresumedOver) -> WorkerCrashed:
     """Return the message on a run that nobody saw end: its worker may have, or its agent."""
     task = CrashedTask(job_id=over.job_id, task=over.task, age_s=None)
-    return make_crashed(over.worker, [task], is_seen=False)
+    return make_worker_crashed(over.worker, [task], is_observed=False)
 
 
-def read_crashed(news: WorkerCrashed) -> list[CrashedTask]:
+def read_crashed_tasks(news: WorkerCrashed) -> list[CrashedTask]:
     """Return the tasks that a message names."""
     return [
         CrashedTask(
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -24,7 +24,7 @@
 from dalemast.core.workloads import Resources, TaskKey
 from dalemast.fleet.address_book import AddressBook, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.crashes import make_crashed, read_crashed
+from dalemast.fleet.crashes import make_worker_crashed, read_crashed_tasks
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
 from dalemast.fleet.entry.rows import make_row, make_starts, make_want
@@ -51,8 +51,8 @@
     Stop,
     WorkerCrashed,
     WorkerLeaving,
-    WorkerPace,
     WorkerReport,
+    WorkerSlowness,
 )
 from dalemast.fleet.frames import (
     CapacityReport as CapacityFrame,
@@ -135,7 +135,7 @@
 
     def tell_evacuations(self, _: Evacuations) -> None:
         """Tell all agents what is evacuated by now."""
-        news = self._evacuations.make_news()
+        news = self._evacuations.make_update()
         for session in self._sessions.values():
             session.link.send(news)
 
@@ -156,7 +156,7 @@
 
     def ask(self, asked: AskRoom) -> None:
         """Tell agents what this entry lacks room for."""
-        message = CapacityRequestUpdate(want=make_want(asked.want))
+        message = CapacityRequestUpdate(request=make_want(asked.want))
         for worker in asked.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -180,7 +180,7 @@
                 self._update_room(session, message)
             case CapacityReleases():
                 self._note_coming_room(session, message)
-            case WorkerPace():
+            case WorkerSlowness():
                 self._note_speed(session, message)
             case WorkerLeaving():
                 self._note_leaving(session, message)
@@ -236,11 +236,13 @@
     def _keep_alive(self, session: AgentSession, *, is_busy: bool, now: float) -> None:
         times = self._times
         link = session.link
-        if now - link.sent_at >= (times.beat_s if is_busy else times.idle_beat_s):
+        if now - link.sent_at >= (
+            times.heartbeat_interval_s if is_busy else times.idle_heartbeat_interval_s
+        ):
             link.send(LinkHeartbeat())
-        heard_at = max(link.heard_at, session.active_since or 0.0)
+        heard_at = max(link.received_at, session.active_since or 0.0)
         silence_s = now - heard_at
-        if silence_s > (times.silence_s if is_busy else times.idle_silence_s):
+        if silence_s > (times.link_timeout_s if is_busy else times.idle_link_timeout_s):
             self.end_session(session, f"silent for {silence_s:.2f} s")
 
     def _mark_active(self, session: AgentSession) -> None:
@@ -255,8 +257,8 @@
         return SentAt(at_ms=int(self._get_checked_at() * 1000))
 
     def _answer_clock(self, session: AgentSession, asked: ClockRequest) -> None:
-        heard_at_ms = math.ceil(clock.monotonic() * 1000)
-        session.link.send(ClockResponse(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        received_at_ms = math.ceil(clock.monotonic() * 1000)
+        session.link.send(ClockResponse(sent_at_ms=asked.sent_at_ms, received_at_ms=received_at_ms))
 
     def _greet(self, session: AgentSession, hello: AgentHello) -> None:
         before = self._sessions.get(hello.name)
@@ -265,7 +267,7 @@
         session.hello = hello
         self._sessions[hello.name] = session
         # Only now, since changes are told to greeted agents; no start goes out before.
-        evacuations = self._evacuations.make_news()
+        evacuations = self._evacuations.make_update()
         if evacuations is not None:
             session.link.send(evacuations)
         session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
@@ -338,7 +340,7 @@
         log_event("worker:leaving", worker=session.worker, leaves_in_s=in_s)
         self._scheduler.note_leaving(session.worker, in_s, now=clock.monotonic())
 
-    def _note_speed(self, session: AgentSession, news: WorkerPace) -> None:
+    def _note_speed(self, session: AgentSession, news: WorkerSlowness) -> None:
         speed = WorkerSpeed(slowness=news.slowness, runs=news.runs)
         self._scheduler.note_speed(session.worker, speed)
         view = self._scheduler.workers.get(session.worker)
@@ -363,7 +365,9 @@
         """Take in a crash, and tell the peers of the tasks that this entry owns."""
         own = tuple(row for row in news.tasks if row.job in self._scheduler.open_jobs)
         if own:
-            self._tell_peers(WorkerCrashed(worker=news.worker, tasks=own, is_seen=news.is_seen))
+            self._tell_peers(
+                WorkerCrashed(worker=news.worker, tasks=own, is_observed=news.is_observed)
+            )
         self._take_crash(news, is_hearsay=False)
 
     def take_hearsay(self, news: WorkerCrashed) -> None:
@@ -373,14 +377,16 @@
     def make_hearsay(self) -> list[WorkerCrashed]:
         """Return what is known of crashes, for a peer that was met."""
         crashes = self._scheduler.list_crashes().items()
-        return [make_crashed(end.life, rows, is_seen=end.is_seen) for end, rows in crashes]
+        return [
+            make_worker_crashed(end.life, rows, is_observed=end.is_seen) for end, rows in crashes
+        ]
 
     def _take_crash(self, news: WorkerCrashed, *, is_hearsay: bool) -> None:
         actions = self._scheduler.note_crash(
             news.worker,
-            read_crashed(news),
+            read_crashed_tasks(news),
             now=clock.monotonic(),
-            is_seen=news.is_seen,
+            is_seen=news.is_observed,
             is_hearsay=is_hearsay,
         )
         self._apply(actions)
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -125,7 +125,7 @@
         of that, the two can't meet, though they may notice a cut some tenths of a second apart.
         """
         since = self._alone_since
-        return since is not None and clock.monotonic() - since >= self._times.silence_s
+        return since is not None and clock.monotonic() - since >= self._times.link_timeout_s
 
     @property
     def routes(self) -> PeerRoutes:
@@ -165,7 +165,7 @@
 
     def tell_evacuations(self, _: Evacuations) -> None:
         """Tell all entries what is evacuated by now; the store may turn some of them away."""
-        news = self._evacuations.make_news()
+        news = self._evacuations.make_update()
         for session in self._dialled.values():
             session.link.send(news)
 
@@ -179,7 +179,7 @@
 
     def learn(self, members: Iterable[Member]) -> None:
         """Take in entries, and pass on those that are news."""
-        news = self._book.learn(members)
+        news = self._book.add_members(members)
         if not news:
             return
         for session in self._dialled.values():
@@ -218,7 +218,7 @@
             case Goodbye():
                 session.is_ending = True
             case LinkHeartbeat():
-                self._check_own_link(session, is_heard=message.hears_other)
+                self._check_own_link(session, is_heard=message.is_receiving)
 
     def end_session(self, session: PeerSession) -> None:
         """Note that a link has ended."""
@@ -251,7 +251,7 @@
             # What a busy link carries stands for its beats, but does not tell of the other link.
             is_due = now - session.link.sent_at >= beat_s or not hears_other
             if is_due and self._carries_beats(session):
-                session.link.send(LinkHeartbeat(hears_other=hears_other))
+                session.link.send(LinkHeartbeat(is_receiving=hears_other))
             if now - self._get_heard_at(session) > SILENT_BEATS * beat_s:
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
@@ -311,7 +311,7 @@
         """Tell whether the entry at the other end is heard on the link that it has dialled."""
         member = session.member
         accepted = None if member is None else self._accepted.get(member.incarnation)
-        return accepted is not None and now - accepted.link.heard_at <= SILENT_BEATS * beat_s
+        return accepted is not None and now - accepted.link.received_at <= SILENT_BEATS * beat_s
 
     def _check_own_link(self, session: PeerSession, *, is_heard: bool) -> None:
         """Dial an entry anew that does not hear this one though its own link works.
@@ -334,7 +334,7 @@
 
     def _get_heard_at(self, session: PeerSession) -> float:
         """Return when the entry at the other end was last heard, on either of its links."""
-        heard_at = session.link.heard_at
+        heard_at = session.link.received_at
         member = session.member
         if member is None:
             return heard_at
@@ -344,7 +344,7 @@
             other = self._dialled.get(member.name)
         if other is None or other.member != member:
             return heard_at
-        return max(heard_at, other.link.heard_at)
+        return max(heard_at, other.link.received_at)
 
     def _dial(self, address: str) -> None:
         if address in self._dialers:
@@ -368,7 +368,7 @@
 
         In this order: with its first configuration a young entry begins to serve callers.
         """
-        evacuations = self._evacuations.make_news()
+        evacuations = self._evacuations.make_update()
         if evacuations is not None:
             session.link.send(evacuations)
         if not session.is_relayed:
@@ -425,7 +425,7 @@
             self._news.take_version(session, news)
 
     def _take_evacuations(self, session: PeerSession, news: EvacuationUpdate) -> None:
-        answer = self._evacuations.take(news, source=session.name or "peer")
+        answer = self._evacuations.handle_update(news, source=session.name or "peer")
         if answer is not None:
             session.link.send(answer)
 
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -26,7 +26,7 @@
     JobTurnedAway,
     Member,
 )
-from dalemast.fleet.crashes import make_unseen
+from dalemast.fleet.crashes import make_presumed_crashed
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.demand import DemandExchange
@@ -86,7 +86,7 @@
             send=lambda starts, stops: self._agents.send(starts, stops),
             ask=lambda asked: self._agents.ask(asked),
             check_pause=self._check_pause,
-            tell_unseen=lambda over: self._peers.tell_crash(make_unseen(over)),
+            tell_unseen=lambda over: self._peers.tell_crash(make_presumed_crashed(over)),
         )
         self._agents = AgentLinks(
             member=self._member,
@@ -125,7 +125,7 @@
         self._ingress: BaseIngress = load_backend(
             settings.backends.ingress, settings=settings, jobs=self
         )
-        self._pauses = PauseWatch(limit_s=self._times.silence_s)
+        self._pauses = PauseWatch(limit_s=self._times.link_timeout_s)
         self._draining_since: float | None = None
 
     @property
@@ -152,7 +152,7 @@
             return JobTurnedAway(cause="draining", retry_after_s=DRAINING_RETRY_S)
         return await self._desk.run(request)
 
-    def leave(self, job_id: str) -> None:
+    def handle_disconnect(self, job_id: str) -> None:
         """Cancel a job whose caller has hung up."""
         self._desk.leave(job_id)
 
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -40,13 +40,13 @@
                 gpu=resources.gpu,
                 expected_s=round(start.expected_s, 4),
                 number=start.number,
-                spare_s=-1.0 if start.spare_s is None else round(start.spare_s, 3),
+                restart_slack_s=-1.0 if start.spare_s is None else round(start.spare_s, 3),
             )
         )
     return Starts(
         job=group[0].job.id,
         payload=group[0].job.payload,
         tasks=tuple(rows),
-        want=make_want(want),
+        request=make_want(want),
         priority=group[0].job.queue.priority,
     )
--- a/dalemast/fleet/evacuations.py
+++ b/dalemast/fleet/evacuations.py
@@ -49,15 +49,15 @@
         for listener in self._listeners:
             listener(offered)
 
-    def take(self, news: EvacuationUpdate, *, source: str) -> EvacuationUpdate | None:
+    def handle_update(self, news: EvacuationUpdate, *, source: str) -> EvacuationUpdate | None:
         """Take in another process's report; return what it should hear if that is out of date."""
         offered = Evacuations(version=news.version, data_centres=frozenset(news.data_centres))
         if self._view.contradicts(offered):
-            return self.make_news()
+            return self.make_update()
         self.offer(offered, source=source)
         return None
 
-    def make_news(self) -> EvacuationUpdate | None:
+    def make_update(self) -> EvacuationUpdate | None:
         """Return what another process should hear, or None while nothing is known."""
         current = self._view.current
         if current is None:
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -61,7 +61,7 @@
     "CapacityRequestUpdate",
     "WorkerLeaving",
     "WorkerReport",
-    "WorkerPace",
+    "WorkerSlowness",
     "Yield",
     "decode_frame",
 ]
@@ -92,11 +92,11 @@
 class LinkHeartbeat(Message, frozen=True, tag="b"):
     """Nothing new; the sender is alive.
 
-    Between entries ``hears_other`` tells whether the sender still hears the other one on the link
+    Between entries ``is_receiving`` tells whether the sender still hears the other one on the link
     that the other has dialled.
     """
 
-    hears_other: bool = True
+    is_receiving: bool = True
 
 
 class SentAt(Message, frozen=True, tag="t"):
@@ -116,10 +116,10 @@
 
 
 class ClockResponse(Message, frozen=True, tag="K"):
-    """``heard_at_ms`` is when the question arrived, by the clock of who answers."""
+    """``received_at_ms`` is when the question arrived, by the clock of who answers."""
 
     sent_at_ms: int
-    heard_at_ms: int
+    received_at_ms: int
 
 
 class EntryHello(Message, frozen=True, tag="h"):
@@ -158,7 +158,7 @@
     gpu: int
     expected_s: float
     number: int
-    spare_s: float = -1.0
+    restart_slack_s: float = -1.0
 
 
 class CapacityRequestRow(Message, frozen=True):
@@ -175,7 +175,7 @@
 class CapacityRequestUpdate(Message, frozen=True, tag="w"):
     """What an owner lacks room for, or that it lacks none."""
 
-    want: CapacityRequestRow | None
+    request: CapacityRequestRow | None
 
 
 class Starts(Message, frozen=True, tag="s"):
@@ -184,7 +184,7 @@
     job: str
     payload: str
     tasks: tuple[StartRow, ...]
-    want: CapacityRequestRow | None = None
+    request: CapacityRequestRow | None = None
     """What the owner still lacks room for."""
     priority: int = 0
     """The job's priority; 0 is the most urgent."""
@@ -258,7 +258,7 @@
     rows: tuple[CapacityReleaseRow, ...]
 
 
-class WorkerPace(Message, frozen=True, tag="V"):
+class WorkerSlowness(Message, frozen=True, tag="V"):
     """How fast the worker is, as in :class:`dalemast.core.scheduling.WorkerSpeed`."""
 
     slowness: float
@@ -298,7 +298,7 @@
 
     worker: str
     tasks: tuple[CrashedRow, ...]
-    is_seen: bool = True
+    is_observed: bool = True
     """False if the worker is only silent, and its lease over."""
 
 
@@ -464,7 +464,7 @@
     | WorkerReport
     | CapacityReport
     | CapacityReleases
-    | WorkerPace
+    | WorkerSlowness
     | WorkerLeaving
     | RunDepartureRisk
     | WorkerCrashed
--- a/dalemast/fleet/links/base.py
+++ b/dalemast/fleet/links/base.py
@@ -26,12 +26,12 @@
     "encode_message",
 ]
 
-PROBE_PAUSE_S = 1
+PROBE_INTERVAL_S = 1
 """Pause of the kernel's keep-alive probes. A host that lost power and is back answers the first one
 with a reset, so its peers dial again within about a second."""
-PROBES = 2
+MAX_PROBES = 2
 """Unanswered probes after which the kernel gives a connection up."""
-UNACKNOWLEDGED_MS = 1500
+ACKNOWLEDGEMENT_TIMEOUT_MS = 1500
 """The kernel gives a connection up when bytes stay unacknowledged for this long. Its probes watch
 idle connections alone, and its own patience with bytes under way is minutes: the link would stay
 open for as long, and no new one would be dialled. A slowed host still acknowledges in tenths."""
@@ -67,8 +67,8 @@
         self._is_scheduled = False
         self._is_open = True
         self._make_head: Callable[[], msgspec.Struct] | None = None
-        self.heard_at = clock.monotonic()
-        self.sent_at = self.heard_at
+        self.received_at = clock.monotonic()
+        self.sent_at = self.received_at
 
     @property
     def is_open(self) -> bool:
@@ -102,12 +102,12 @@
 
     def decode(self, data: str | bytes | memoryview) -> list[Any]:
         """Decode what arrived and note that the peer is alive."""
-        self.heard_at = clock.monotonic()
+        self.received_at = clock.monotonic()
         return decode_frame(data, self._message_type)
 
     def reset_liveness(self, late_s: float) -> None:
         """Count the peer's silence as shorter, by a time in which this process did not listen."""
-        self.heard_at = min(self.heard_at + late_s, clock.monotonic())
+        self.received_at = min(self.received_at + late_s, clock.monotonic())
 
     def reset(self) -> None:
         """Close at once, so that nothing held up on the way is delivered later."""
@@ -235,9 +235,9 @@
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_PAUSE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PAUSE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, MAX_PROBES)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACKNOWLEDGEMENT_TIMEOUT_MS)
     except OSError as error:
         log_error("link:no-probes", reason=str(error))
--- a/dalemast/fleet/links/dialer.py
+++ b/dalemast/fleet/links/dialer.py
@@ -24,15 +24,15 @@
 :data:`OPEN_TIMEOUT_S`. A host that is just starting says nothing at first, and the kernel sends the
 opening packet again only after a second: a new try reaches it sooner."""
 FIRST_RETRY_S = 0.05
-LONGEST_RETRY_S = 0.25
+MAX_RETRY_S = 0.25
 """Bounds on the pause between tries. A restarted process is back within about a second."""
-DOUBTED_RETRY_S = 1.0
+SLOW_RETRY_S = 1.0
 """Pause once an address has not answered for :data:`RESTART_S`."""
-RESTART_S = 5.0
+SLOW_RETRY_AFTER_S = 5.0
 """In this time a process that was killed or stopped is back, as a rule."""
-GIVE_UP_RETRY_S = 4.0
+LOST_RETRY_S = 4.0
 """Pause once an address has not answered for :data:`DOUBT_AFTER_S`: its host is likely gone."""
-DOUBT_AFTER_S = 20.0
+LOST_AFTER_S = 20.0
 MAX_DOUBLINGS = 4
 """Enough for both pauses to reach their bounds."""
 
@@ -85,11 +85,11 @@
     def _get_retry_s(self, tries: int) -> float:
         """Return the pause after so many tries in a row that failed."""
         now = clock.monotonic()
-        if self.is_failing(now, longer_than_s=DOUBT_AFTER_S):
-            return GIVE_UP_RETRY_S
-        if self.is_failing(now, longer_than_s=RESTART_S):
-            return DOUBTED_RETRY_S
-        return min(FIRST_RETRY_S * 2**tries, LONGEST_RETRY_S)
+        if self.is_failing(now, longer_than_s=LOST_AFTER_S):
+            return LOST_RETRY_S
+        if self.is_failing(now, longer_than_s=SLOW_RETRY_AFTER_S):
+            return SLOW_RETRY_S
+        return min(FIRST_RETRY_S * 2**tries, MAX_RETRY_S)
 
     def _take_link(self, link: Link) -> LinkReceiver:
         """Take in a link that has just opened."""
--- a/dalemast/fleet/process.py
+++ b/dalemast/fleet/process.py
@@ -52,7 +52,7 @@
             stop_s=settings.stop_ms / 1000,
         )
         self._metrics = Metrics()
-        self._book.count_in(self._metrics)
+        self._book.set_metrics(self._metrics)
         self._store: BaseMemberStore = load_backend(
             settings.backends.store, settings=settings, metrics=self._metrics
         )
--- a/dalemast/fleet/timing.py
+++ b/dalemast/fleet/timing.py
@@ -34,20 +34,20 @@
 class FleetTimes:
     """Times in seconds. ``stop_s`` is the platform's bound on a stop."""
 
-    owner_patience_s: float = 0.45
+    owner_timeout_s: float = 0.45
     """An agent stops the runs of an owner that is silent for this long: three beats and some."""
     lease_s: float = 0.6
     """A worker drops everything this long after the last word from its agent: two unanswered
     looks in a row and a third try fit in."""
-    beat_s: float = 0.12
+    heartbeat_interval_s: float = 0.12
     """Pause between messages on a link that carries runs."""
-    idle_beat_s: float = 5.0
+    idle_heartbeat_interval_s: float = 5.0
     """Pause between messages on a link that carries none. The kernel's probes watch it meanwhile
     (dalemast/fleet/links): at 70 workers and 12 entries a beat a second on each idle link took
     most of a core."""
-    silence_s: float = 0.45
+    link_timeout_s: float = 0.45
     """A link that carries runs is given up after this silence."""
-    idle_silence_s: float = 12.0
+    idle_link_timeout_s: float = 12.0
     """A link that carries none is given up after this silence."""
     stop_s: float = 0.05
     margin_s: float = 0.06
@@ -57,7 +57,7 @@
     def lost_run_s(self) -> float:
         """Return how long after its owner's last word a run may still be going."""
         lease_s = self.lease_s * WORKER_CLOCK_STRETCH
-        return self.owner_patience_s + lease_s + self.stop_s + self.margin_s
+        return self.owner_timeout_s + lease_s + self.stop_s + self.margin_s
 
     @classmethod
     def fit(cls, *, resend_s: float, lease_max_s: float, stop_s: float) -> FleetTimes:
@@ -67,9 +67,9 @@
         budget_s = resend_s - stop_s - usual.margin_s - RESEND_SLACK_S
         share = min(1.0, budget_s / chain_s)
         return cls(
-            owner_patience_s=usual.owner_patience_s * share,
+            owner_timeout_s=usual.owner_timeout_s * share,
             lease_s=min(usual.lease_s * share, lease_max_s),
-            silence_s=usual.silence_s * share,
-            beat_s=usual.beat_s * share,
+            link_timeout_s=usual.link_timeout_s * share,
+            heartbeat_interval_s=usual.heartbeat_interval_s * share,
             stop_s=stop_s,
         )
--- a/dalemast/platform/ingress.py
+++ b/dalemast/platform/ingress.py
@@ -99,7 +99,7 @@
     def on_connection_close(self) -> None:
         """Cancel a job whose caller has hung up."""
         if self._job_id:
-            self._jobs.leave(self._job_id)
+            self._jobs.handle_disconnect(self._job_id)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
         """Answer with the typed error that was raised."""
--- a/tests/fleet/test_bounds.py
+++ b/tests/fleet/test_bounds.py
@@ -132,7 +132,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (earlier,) = owners._sessions.values()
-                link = mock.Mock(is_open=True, sent_at=0.0, heard_at=clock.monotonic())
+                link = mock.Mock(is_open=True, sent_at=0.0, received_at=clock.monotonic())
                 later = OwnerSession(link=link, links=owners)
                 assert earlier.member is not None
                 later.receive([EntryHello(member=to_row(earlier.member))])
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -8,7 +8,7 @@
 
 from dalemast.core.scheduling import CrashedTask
 from dalemast.core.workloads import TaskKey
-from dalemast.fleet.crashes import MAX_CRASHES, CrashMemory, make_crashed, read_crashed
+from dalemast.fleet.crashes import MAX_CRASHES, CrashMemory, make_worker_crashed, read_crashed_tasks
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.frames import AgentMessage, PeerMessage, WorkerCrashed, decode_frame
 from tests.base import AsyncTestCase
@@ -45,16 +45,16 @@
 
 
 class CrashMemoryTests(unittest.TestCase):
-    def make(self, life: str, *, is_seen: bool = True) -> WorkerCrashed:
+    def make(self, life: str, *, is_observed: bool = True) -> WorkerCrashed:
         row = CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.0312)
-        return make_crashed(life, [row], is_seen=is_seen)
+        return make_worker_crashed(life, [row], is_observed=is_observed)
 
     def test_a_message_says_what_it_was_made_of(self) -> None:
         rows = [
             CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.25),
             CrashedTask(job_id=JOB, task=TaskKey(2, 0), age_s=None),
         ]
-        self.assertEqual(rows, read_crashed(make_crashed("i-1", rows)))
+        self.assertEqual(rows, read_crashed_tasks(make_worker_crashed("i-1", rows)))
 
     def test_entries_hear_it_from_agents_and_from_one_another(self) -> None:
         for kind in (AgentMessage, PeerMessage):
@@ -71,16 +71,16 @@
 
     def test_a_silent_life_that_is_back_is_forgotten(self) -> None:
         memory = CrashMemory()
-        memory.add(self.make("i-1", is_seen=False))
-        memory.note_there("i-1")
+        memory.add(self.make("i-1", is_observed=False))
+        memory.record_alive("i-1")
         self.assertEqual((), memory.crashes)
 
     def test_a_silent_life_that_another_one_follows_stays_unseen(self) -> None:
         """Its tasks may have lapsed before it ended."""
         memory = CrashMemory()
-        memory.add(self.make("i-1", is_seen=False))
-        memory.note_there("i-2")
-        self.assertEqual([False], [crashed.is_seen for crashed in memory.crashes])
+        memory.add(self.make("i-1", is_observed=False))
+        memory.record_alive("i-2")
+        self.assertEqual([False], [crashed.is_observed for crashed in memory.crashes])
 
 
 class OwnerTests(unittest.TestCase):
@@ -103,8 +103,8 @@
         rows = [
             CrashedTask(job_id=job_id, task=TaskKey(0, 0), age_s=0.25) for job_id in (JOB, "other")
         ]
-        links.take(mock.Mock(), make_crashed("i-1", rows))
-        tell_peers.assert_called_once_with(make_crashed("i-1", rows[:1]))
+        links.take(mock.Mock(), make_worker_crashed("i-1", rows))
+        tell_peers.assert_called_once_with(make_worker_crashed("i-1", rows[:1]))
         scheduler.note_crash.assert_called_once_with(
             "i-1", rows, now=mock.ANY, is_seen=True, is_hearsay=False
         )
--- a/tests/fleet/test_demand.py
+++ b/tests/fleet/test_demand.py
@@ -100,7 +100,7 @@
                 await load.begin()
                 await wait_until(lambda: get_told(second) > 5, "the second's word to be renewed")
                 await wait_until(lambda: get_ahead(first) > 0.0, "the second's word")
-                second.leave(JOB.format(3))
+                second.handle_disconnect(JOB.format(3))
                 await wait_until(lambda: not get_heard(first, "entry-1"), "its end to be told")
                 told = get_told(second)
                 await settle()
--- a/tests/fleet/test_desk.py
+++ b/tests/fleet/test_desk.py
@@ -348,7 +348,7 @@
             desk.tick(self.now)
             job = asyncio.ensure_future(desk.run(make_job(JOB)))
             await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to wait")
-            desk.abandon_begun(self.now + TIMES.silence_s)
+            desk.abandon_begun(self.now + TIMES.link_timeout_s)
             self.assertEqual([JOB], list(self.scheduler.open_jobs))
             desk.leave(JOB)
             await job
--- a/tests/fleet/test_dialling.py
+++ b/tests/fleet/test_dialling.py
@@ -40,7 +40,7 @@
                     make_receiver=mock.Mock(),
                 )
                 dialling.start()
-                book.learn(members)
+                book.add_members(members)
                 await asyncio.sleep(0)
                 return [call.kwargs["url"].split("/")[2] for call in dialer.call_args_list]
 
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -27,7 +27,7 @@
     def receive(self, messages: list[Any]) -> None:
         self.messages += messages
         if any(
-            isinstance(message, LinkHeartbeat) and not message.hears_other for message in messages
+            isinstance(message, LinkHeartbeat) and not message.is_receiving for message in messages
         ):
             raise RuntimeError("a fault of the receiver's")
 
--- a/tests/fleet/test_looks.py
+++ b/tests/fleet/test_looks.py
@@ -79,7 +79,7 @@
             loop.set_owners(mock.Mock())
             with mock.patch("dalemast.fleet.agent.worker.asyncio.sleep") as sleep:
                 for _ in range(LOOKS):
-                    await loop._look()
+                    await loop._poll()
             return [call.args[0] for call in sleep.call_args_list]
 
         return self.run_async(run())
@@ -115,7 +115,7 @@
         async def run() -> None:
             with mock.patch("dalemast.fleet.agent.worker.asyncio.sleep"):
                 for _ in range(times):
-                    await loop._look()
+                    await loop._poll()
 
         self.run_async(run())
 
--- a/tests/fleet/test_over_by_now.py
+++ b/tests/fleet/test_over_by_now.py
@@ -43,14 +43,14 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent, worker = fleet.agents[0], fleet.workers[0]
                 (session,) = agent._owners._sessions.values()
-                first, news = worker.life_id, session._news
+                first, news = worker.life_id, session._report_number
                 # From here on the link is cut, with the answer to news of the first life under way.
                 with mock.patch.object(session.link, "send") as send:
                     await worker.crash()
                     worker.start()
                     await wait_until(lambda: _has_settled(agent, first), "the next life")
                     await settle()
-                    said = SentAt(at_ms=session._said_ms + 10_000)
+                    said = SentAt(at_ms=session._sent_ms + 10_000)
                     self.assertFalse(session.is_reconciled)
                     session.receive([said, Reconciled(number=news), make_starts(JOB.format(2))])
                     await settle()
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -9,7 +9,7 @@
 
 from dalemast import clock
 from dalemast.core.supervision import Supervisor, SupervisorLimits
-from dalemast.fleet.agent.owner_sessions import PROBE_PATIENCE_S, OwnerSession
+from dalemast.fleet.agent.owner_sessions import PROBE_TIMEOUT_S, OwnerSession
 from dalemast.fleet.agent.relay import EntryRelay
 from dalemast.fleet.base import Member
 from dalemast.fleet.entry.peer_sessions import PeerSession
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.sent: list[Any] = []
         self.is_open = True
-        self.heard_at = clock.monotonic()
+        self.received_at = clock.monotonic()
 
     def send(self, message: Any) -> None:
         self.sent.append(message)
@@ -87,34 +87,36 @@
 
     def test_an_entry_that_asks_is_told_now_and_at_each_change(self) -> None:
         relay = self.make_relay(OWN, PEER)
-        relay.take_ask(self.sessions[OWN], ReachableEntriesRequest(number=3, suspects=()))
+        relay.handle_request(self.sessions[OWN], ReachableEntriesRequest(number=3, suspects=()))
         self.assertEqual([ReachableEntries(number=3, entries=(PEER,))], self.take(OWN))
-        relay.tell_changes()
+        relay.report_changes()
         self.take(OWN)
-        relay.tell_changes()
+        relay.report_changes()
         self.assertEqual([], self.take(OWN))
         del self.sessions[PEER]
-        relay.tell_changes()
+        relay.report_changes()
         self.assertEqual([ReachableEntries(number=3, entries=())], self.take(OWN))
 
     def test_a_suspect_is_asked_for_a_sign_of_life(self) -> None:
         relay = self.make_relay(OWN, PEER)
-        relay.take_ask(
+        relay.handle_request(
             self.sessions[OWN], ReachableEntriesRequest(number=1, suspects=(PEER, OTHER))
         )
         (asked,) = self.take(PEER)
         self.assertIsInstance(asked, ClockRequest)
         suspect, now = self.sessions[PEER], clock.monotonic()
         self.assertFalse(suspect.has_missed_probe(now=now))
-        self.assertTrue(suspect.has_missed_probe(now=now + PROBE_PATIENCE_S + 0.01))
-        suspect.link.heard_at = now + 0.1
+        self.assertTrue(suspect.has_missed_probe(now=now + PROBE_TIMEOUT_S + 0.01))
+        suspect.link.received_at = now + 0.1
         self.assertFalse(suspect.has_missed_probe(now=now + 10.0))
 
     def test_a_probe_does_not_count_while_the_agent_did_not_listen(self) -> None:
         relay = self.make_relay(OWN, PEER)
         suspect, now = self.sessions[PEER], clock.monotonic()
         suspect.link.reset_liveness = lambda late_s: None  # type: ignore[method-assign]
-        relay.take_ask(self.sessions[OWN], ReachableEntriesRequest(number=1, suspects=(PEER,)))
+        relay.handle_request(
+            self.sessions[OWN], ReachableEntriesRequest(number=1, suspects=(PEER,))
+        )
         with mock.patch("dalemast.clock.monotonic", return_value=now + 1.0):
             suspect.reset_liveness(1.0)
         self.assertFalse(suspect.has_missed_probe(now=now + 1.0))
@@ -122,20 +124,20 @@
     def test_frames_and_ends_go_to_their_receiver(self) -> None:
         relay = self.make_relay(OWN, PEER)
         for message in (make_frame(), RouteEnded(route="r", sender=OWN, receiver=PEER)):
-            relay.pass_on(self.sessions[OWN], message)
+            relay.forward(self.sessions[OWN], message)
             self.assertEqual([message], self.take(PEER))
             self.assertEqual([], self.take(OWN))
 
     def test_a_frame_to_an_entry_out_of_reach_ends_its_route(self) -> None:
         relay = self.make_relay(OWN)
-        relay.pass_on(self.sessions[OWN], make_frame())
+        relay.forward(self.sessions[OWN], make_frame())
         self.assertEqual([RouteEnded(route="r", sender=PEER, receiver=OWN)], self.take(OWN))
-        relay.pass_on(self.sessions[OWN], RouteEnded(route="r", sender=OWN, receiver=PEER))
+        relay.forward(self.sessions[OWN], RouteEnded(route="r", sender=OWN, receiver=PEER))
         self.assertEqual([], self.take(OWN))
 
     def test_nobody_speaks_in_anothers_name(self) -> None:
         relay = self.make_relay(OWN, PEER)
-        relay.pass_on(self.sessions[OWN], make_frame(sender=OTHER))
+        relay.forward(self.sessions[OWN], make_frame(sender=OTHER))
         self.assertEqual([], self.take(PEER))
 
 
@@ -303,11 +305,11 @@
                 message_type=PeerMessage, pass_on=frames.append, end_route=lambda: None
             )
             link.send(LinkHeartbeat())
-            link.send(LinkHeartbeat(hears_other=False))
+            link.send(LinkHeartbeat(is_receiving=False))
             link.flush()
             (frame,) = frames
             self.assertEqual(
-                [LinkHeartbeat(), LinkHeartbeat(hears_other=False)],
+                [LinkHeartbeat(), LinkHeartbeat(is_receiving=False)],
                 decode_frame(frame, PeerMessage),
             )
 
--- a/tests/fleet/test_said.py
+++ b/tests/fleet/test_said.py
@@ -42,17 +42,19 @@
 
     def ask(self, *, way_s: float) -> None:
         """Ask for the entry's clock; the question takes this long to arrive."""
-        self.session.ask_clock()
+        self.session.request_clock()
         (asked,) = self.link.send.call_args.args
         self.assertIsInstance(asked, ClockRequest)
-        heard_at_ms = asked.sent_at_ms + round((way_s + ENTRY_AHEAD_S) * 1000)
-        self.session.take_clock(ClockResponse(sent_at_ms=asked.sent_at_ms, heard_at_ms=heard_at_ms))
+        received_at_ms = asked.sent_at_ms + round((way_s + ENTRY_AHEAD_S) * 1000)
+        self.session.handle_clock(
+            ClockResponse(sent_at_ms=asked.sent_at_ms, received_at_ms=received_at_ms)
+        )
 
     def say(self, *, ago_s: float) -> float:
         """Take in a frame that was said a while ago; return the age that it is given."""
         now = clock.monotonic()
-        self.session.note_said(SentAt(at_ms=int((now - ago_s + ENTRY_AHEAD_S) * 1000)))
-        return now - self.session.said_at
+        self.session.record_sent_at(SentAt(at_ms=int((now - ago_s + ENTRY_AHEAD_S) * 1000)))
+        return now - self.session.frame_sent_at
 
     def test_before_the_entrys_clock_is_known_nothing_counts(self) -> None:
         self.assertEqual(float("inf"), self.say(ago_s=0.0))
@@ -65,12 +67,12 @@
     def test_an_answer_to_earlier_news_of_the_worker_is_not_one_to_the_newest(self) -> None:
         """Starts that were under way meanwhile count as over at an entry that compares it next."""
         self.ask(way_s=0.0)
-        first = self.session.begin_news()
+        first = self.session.begin_report()
         self.assertEqual(float("inf"), self.say(ago_s=0.0))
-        second = self.session.begin_news()
-        self.session.note_reconciled(Reconciled(number=first))
+        second = self.session.begin_report()
+        self.session.handle_reconciled(Reconciled(number=first))
         self.assertEqual(float("inf"), self.say(ago_s=0.0))
-        self.session.note_reconciled(Reconciled(number=second))
+        self.session.handle_reconciled(Reconciled(number=second))
         self.assertLess(self.say(ago_s=0.0), 0.02)
 
     def test_the_age_is_at_least_the_true_one_and_at_most_the_questions_way_more(self) -> None:
@@ -92,7 +94,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (session,) = owners._sessions.values()
-                late = SentAt(at_ms=session._said_ms - 60_000)
+                late = SentAt(at_ms=session._sent_ms - 60_000)
                 with mock.patch.object(session.link, "send") as send:
                     session.receive([late, make_starts(JOB.format(1))])
                 ends = [c.args[0] for c in send.call_args_list if isinstance(c.args[0], RunEnded)]
@@ -109,7 +111,7 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (session,) = owners._sessions.values()
-                session.receive([SentAt(at_ms=session._said_ms + 60_000)])
+                session.receive([SentAt(at_ms=session._sent_ms + 60_000)])
                 self.assertFalse(session.link.is_open)
                 await wait_until(lambda: len(owners) == 1, "a link to be open again")
 
@@ -120,11 +122,11 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent = fleet.agents[0]
                 (session,) = agent._owners._sessions.values()
-                session.receive([SentAt(at_ms=session._said_ms), make_starts(JOB.format(2))])
+                session.receive([SentAt(at_ms=session._sent_ms), make_starts(JOB.format(2))])
                 await wait_until(lambda: bool(fleet.get_running(JOB.format(2))), "it to run")
                 known = agent._supervisor.runs[RunId(JOB.format(2), TaskKey(0, 0), 1)]
                 while known.stopping_since is None:
-                    late = SentAt(at_ms=session._said_ms - 600)
+                    late = SentAt(at_ms=session._sent_ms - 600)
                     agent._owners.receive(session, [late])
                     await asyncio.sleep(0.05)
 
--- a/tests/fleet/test_speeds.py
+++ b/tests/fleet/test_speeds.py
@@ -11,7 +11,7 @@
 from dalemast.core.workloads import Resources
 from dalemast.fleet.agent.owner_sessions import OwnerSession
 from dalemast.fleet.agent.reports import WorkerReports
-from dalemast.fleet.frames import WorkerPace, WorkerReport
+from dalemast.fleet.frames import WorkerReport, WorkerSlowness
 from dalemast.observability import Metrics
 from dalemast.settings.fleet import LoadSettings
 from tests.base import AsyncTestCase, wait_until
@@ -65,7 +65,7 @@
 
     def get_paces(self, session: OwnerSession) -> list[float]:
         sent = [call.args[0] for call in session.link.send.call_args_list]  # type: ignore[attr-defined]
-        return [message.slowness for message in sent if isinstance(message, WorkerPace)]
+        return [message.slowness for message in sent if isinstance(message, WorkerSlowness)]
 
     def test_all_owners_hear_once_and_when_it_changes(self) -> None:
         reports = self.make_reports()
@@ -87,7 +87,7 @@
         reports.greet(owner, now=NOW + 1.0)
         first, second = [call.args[0] for call in owner.link.send.call_args_list[:2]]  # type: ignore[attr-defined]
         self.assertIsInstance(first, WorkerReport)
-        self.assertEqual(WorkerPace(slowness=1.67, runs=96), second)
+        self.assertEqual(WorkerSlowness(slowness=1.67, runs=96), second)
 
     def test_a_new_life_has_no_speed_yet(self) -> None:
         reports = self.make_reports()
--- a/tests/fleet/test_timing.py
+++ b/tests/fleet/test_timing.py
@@ -37,13 +37,13 @@
         times = FleetTimes.fit(resend_s=resend_s, lease_max_s=lease_max_s, stop_s=stop_s)
         self.assertLess(times.lost_run_s, resend_s)
         self.assertLessEqual(times.lease_s, lease_max_s)
-        self.assertLess(3 * times.beat_s, times.owner_patience_s)
+        self.assertLess(3 * times.heartbeat_interval_s, times.owner_timeout_s)
 
     def test_a_lost_run_is_given_all_the_time_that_it_may_take(self) -> None:
         """Its owner's word counts for the patience; the lease asked for at the end of that lasts
         longer on a slow clock; then the worker takes its time to end it."""
         times = FleetTimes.fit(resend_s=1.3, lease_max_s=1.0, stop_s=0.05)
-        longest_s = times.owner_patience_s + times.lease_s / (1.0 - WORKER_CLOCK_ERROR)
+        longest_s = times.owner_timeout_s + times.lease_s / (1.0 - WORKER_CLOCK_ERROR)
         self.assertGreaterEqual(times.lost_run_s, longest_s + times.stop_s + times.margin_s)
 
     def test_the_usual_times_need_no_shrinking(self) -> None:
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -48,7 +48,7 @@
         session = OwnerSession(link=mock.Mock(), links=mock.Mock())
         session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no one of them is offered the room before the others.
-        session.audience.want = Want(rank=(0.0,), cpu=8000)
+        session.subscriber.want = Want(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
     def note(self, name: str, message: object) -> None:
@@ -89,7 +89,7 @@
             metrics=Metrics(),
         )
         reports.note_change(now=NOW)
-        self.sessions["o2"].audience.hasten()
+        self.sessions["o2"].subscriber.hasten()
         reports.send_due(now=NOW)
         self.told = []
         reports.note_change(now=NOW + PAUSE_S)
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -452,7 +452,7 @@
         host = self._hosts[caller.entry]
         if fault.is_heard and host.is_up:
             # In a later turn than what came before it: a submission's handler has begun by then.
-            host.take(lambda: host.loop.call_soon(host.process.leave, caller.job_id))
+            host.take(lambda: host.loop.call_soon(host.process.handle_disconnect, caller.job_id))
         self._submit_later(caller)
 
     def _submit_later(self, caller: ModelCaller) -> None:
