--- a/dalemast/fleet/__init__.py
+++ b/dalemast/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Dispatching on a platform with leased workers: entries own jobs, agents guard workers."""
+"""Dispatching on a platform with leased workers: entries own jobs, agents control workers."""
--- a/dalemast/fleet/address_book.py
+++ b/dalemast/fleet/address_book.py
@@ -1,4 +1,4 @@
-"""What a process knows of the entries: addresses, and who answered there last."""
+"""The entries that a process knows: their addresses, and the member last seen at each."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     r"(?:(?P<numbers>\d{1,3}(?:\.\d{1,3}){3})|\[[0-9a-fA-F:]+\]):(?P<port>\d{1,5})\Z"
 )
 FOREIGN_MEMBER = "member:foreign"
-"""Log line of an entry that is not learned, and with dots the beginning of its counters."""
+"""Log event of a rejected member; with a dot for the colon, the prefix of its counters."""
 MAX_TEXT = 200
-"""Characters of a name. The platform's names of machines have some 20."""
+"""Maximum number of characters in the fields of a member."""
 
 
 class AddressBook:
-    """Addresses of entries, from settings, the store and peers. None of these alone is enough."""
+    """Addresses of entries, collected from settings, the store and peers."""
 
     def __init__(self, *, own_address: str = "") -> None:
         self._own_address = own_address
@@ -36,40 +36,40 @@
 
     @property
     def addresses(self) -> list[str]:
-        """All addresses."""
+        """All known addresses."""
         return list(self._members)
 
     def set_metrics(self, metrics: Metrics) -> None:
-        """Count here what is not learned."""
+        """Set the metrics that count rejected members."""
         self._refusals = RefusalLog(event=FOREIGN_MEMBER, metrics=metrics)
 
     def on_address(self, listener: Callable[[str], None]) -> None:
-        """Call a function with each address that was not known before."""
+        """Call the listener with each new address."""
         self._listeners.append(listener)
 
     def add_addresses(self, addresses: Iterable[str]) -> None:
-        """Take addresses whose owners are not known."""
+        """Add addresses whose members are not known."""
         for address in addresses:
             self._add(address, None)
 
     def add_members(self, members: Iterable[Member]) -> list[Member]:
-        """Take in entries; return those at addresses that were not known.
+        """Add members; return those at addresses that had no known member before.
 
-        Which life of an entry answers at an address is told by its own hello alone: hearsay may be
-        out of date, and passing that on as news would go round without end.
+        A different incarnation at a known address is not returned: relayed reports may be out of
+        date, and if entries forwarded them to each other, they would circulate forever.
         """
-        news = []
+        added = []
         for member in members:
             fault = find_fault(member)
             if fault:
-                # A peer may have it from a row of the store that another writer has left.
+                # A peer may have read it from a row that another program wrote to the store.
                 self._refusals.note(writer=member.name, reason="field-invalid", detail=fault)
                 continue
             is_known = self._members.get(member.address) is not None
             if not is_known and member.address != self._own_address:
-                news.append(member)
+                added.append(member)
             self._add(member.address, member)
-        return news
+        return added
 
     def _add(self, address: str, member: Member | None) -> None:
         if address == self._own_address:
@@ -83,20 +83,20 @@
 
 
 def find_fault(member: Member) -> str:
-    """Return why this can't be an entry, or an empty text."""
+    """Return why a member is invalid, or an empty string."""
     for name in ("name", "incarnation", "data_centre"):
         if not 0 < len(getattr(member, name)) <= MAX_TEXT:
             return f"{name} is empty or too long"
     match = ADDRESS.match(member.address)
     if match is None or not 0 < int(match["port"]) < 2**16:
-        return "address is not an IP number and a port"
+        return "address is not an IP address and a port"
     if match["numbers"] and any(int(part) > 255 for part in match["numbers"].split(".")):
-        return "address is no IP number"
+        return "address is not a valid IP address"
     return ""
 
 
 def to_member(row: MemberRow) -> Member:
-    """Turn a row of a frame into a member."""
+    """Convert a row of a frame to a member."""
     return Member(
         name=row.name,
         incarnation=row.incarnation,
@@ -106,7 +106,7 @@
 
 
 def to_row(member: Member) -> MemberRow:
-    """Turn a member into a row of a frame."""
+    """Convert a member to a row of a frame."""
     return MemberRow(
         name=member.name,
         incarnation=member.incarnation,
--- a/dalemast/fleet/agent/__init__.py
+++ b/dalemast/fleet/agent/__init__.py
@@ -1,4 +1,4 @@
-"""The agent: the one caller of the worker on its host."""
+"""The agent process, which alone controls the worker on its host."""
 
 from dalemast.fleet.agent.process import FleetAgentProcess
 
--- a/dalemast/fleet/agent/dialling.py
+++ b/dalemast/fleet/agent/dialling.py
@@ -1,4 +1,4 @@
-"""Which entries an agent dials: all of a small system, a bounded choice of a large one."""
+"""Which entries an agent dials: all of them in a small system, a subset in a large one."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 __all__ = ["OwnerDialling"]
 
 REVIEW_INTERVAL_S = 1.0
-"""Pause between two reviews of the choice: about the time in which a lost entry is back."""
+"""Interval between reviews of the chosen entries, in seconds."""
 UNREACHABLE_AFTER_S = 6.0
-"""An entry that can't be dialled for this long gives its place to another: longer than cuts last,
-so that no link is moved for a passing fault."""
+"""An entry that was unreachable for this long is replaced by another one. Long enough that a short
+network failure does not move links."""
 
 
 class OwnerDialling:
-    """Keeps dialling the chosen entries, and those that don't answer, in case they come back."""
+    """Dials the chosen entries, and goes on dialling unreachable ones until they are back."""
 
     def __init__(
         self,
@@ -46,54 +46,53 @@
         self._is_dialling_due = False
 
     def start(self) -> None:
-        """Dial the entries that are wanted of those known now or later."""
-        self._dial_wanted()
-        self._book.on_address(self._note_address)
+        """Dial the chosen ones of the entries that are known now or later."""
+        self._dial_chosen()
+        self._book.on_address(self._handle_address)
 
     def stop(self) -> None:
-        """Dial no more and end all links."""
+        """Stop dialling and close all links."""
         for dialer in self._dialers.values():
             dialer.stop()
 
     def review(self, *, busy: Collection[str], is_linked: bool, now: float) -> None:
-        """Dial what is wanted by now and end other links, but those of ``busy`` entries."""
+        """Dial the entries chosen now, and close other links except those of ``busy`` entries."""
         if now - self._reviewed_at < REVIEW_INTERVAL_S:
             return
         self._reviewed_at = now
         if len(self._book.addresses) <= self._bounds.total:
             return
         members = {member.address: member for member in self._book.members}
-        wanted = self._choose_addresses(members, now)
-        for address in wanted:
+        chosen = self._choose_addresses(members, now)
+        for address in chosen:
             self._dial(address)
         for address, dialer in list(self._dialers.items()):
-            # An entry that doesn't answer is dialled on, in case it comes back.
-            if address in wanted or dialer.is_failing(now, longer_than_s=0.0):
+            # An unreachable entry is still dialled, in case it comes back.
+            if address in chosen or dialer.is_failing(now, longer_than_s=0.0):
                 continue
             member = members.get(address)
             is_spare = is_linked if member is None else member.name not in busy
             if is_spare:
                 self._end(address)
 
-    def _note_address(self, address: str) -> None:
-        """Dial soon: addresses are mostly learned together, and the choice wants to see them all.
+    def _handle_address(self, address: str) -> None:
+        """Schedule one choice among all addresses that are added in this event loop iteration.
 
-        Dialled one by one as they were learned, all entries of a large system were dialled before
-        the choice fell on a few: at 35 entries and 160 agents 3,000 links of 5,600 were ended again
-        within a second, also right after a loss of all power.
+        If each address was dialled when it was added, an agent of a large system would open links
+        to all entries and close most of them again a second later.
         """
         if not self._is_dialling_due:
             self._is_dialling_due = True
-            asyncio.get_running_loop().call_soon(self._dial_wanted)
+            asyncio.get_running_loop().call_soon(self._dial_chosen)
 
-    def _dial_wanted(self) -> None:
-        """Dial all entries while they are few, else those that the choice falls on."""
+    def _dial_chosen(self) -> None:
+        """Dial all entries if they are few, otherwise the chosen ones."""
         self._is_dialling_due = False
-        wanted: Collection[str] = self._book.addresses
-        if len(wanted) > self._bounds.total:
+        chosen: Collection[str] = self._book.addresses
+        if len(chosen) > self._bounds.total:
             members = {member.address: member for member in self._book.members}
-            wanted = self._choose_addresses(members, clock.monotonic())
-        for address in wanted:
+            chosen = self._choose_addresses(members, clock.monotonic())
+        for address in chosen:
             self._dial(address)
 
     def _choose_addresses(self, members: dict[str, Member], now: float) -> set[str]:
--- a/dalemast/fleet/agent/owner_sessions.py
+++ b/dalemast/fleet/agent/owner_sessions.py
@@ -1,4 +1,4 @@
-"""The links with entries, as this agent sees each one."""
+"""The state of an agent's link with one entry."""
 
 from __future__ import annotations
 
@@ -10,122 +10,124 @@
 from dalemast.fleet.base import Member
 from dalemast.fleet.frames import ClockRequest, ClockResponse, EntryMessage, Reconciled, SentAt
 from dalemast.fleet.links import Link
-from dalemast.fleet.timing import STEADY_CLOCK_DRIFT
+from dalemast.fleet.timing import MONOTONIC_CLOCK_DRIFT
 
 __all__ = ["OwnerSession", "OwnerSessionHandler"]
 
 CLOCK_INTERVAL_S = 5.0
-"""Pause between questions to an entry how its clock goes: in this time two clocks part by 5 ms at
-the most. The questions and answers stand for the beats of an idle link."""
+"""Interval between clock requests to an entry, in seconds. It limits by how much the two clocks can
+drift apart in between. On an idle link the requests also serve as heartbeats."""
 FIRST_CLOCK_INTERVAL_S = 0.5
-"""The same after a greeting, whose question may be slow on a host that is just starting: until the
-next one the entry's words look that much older than they are."""
+"""The interval after the first request of a link. That one may be slow on a host that is still
+starting, which makes the entry's messages appear too old until the next response."""
 
 PROBE_TIMEOUT_S = 0.25
-"""How long an entry that another one has lost may take for a sign of life. It has been silent to
-that one for half a second by then, and a slowed host answers within some 50 ms. Callers of a third
-of all ids wait meanwhile where one of three entries has gone dark."""
+"""Timeout, in seconds, for the response of an entry that another entry suspects. It is short since
+jobs whose claims have their home at the suspect wait in the meantime."""
 
 
 class OwnerSessionHandler(Protocol):
-    """Takes what happens on a link."""
+    """Handles the frames and the end of an owner session."""
 
     def receive(self, session: OwnerSession, messages: list[EntryMessage]) -> None:
-        """Take in a frame."""
+        """Handle the messages of a frame."""
 
     def end_session(self, session: OwnerSession) -> None:
-        """Note that a link has ended."""
+        """Handle the end of a link."""
 
 
 class OwnerSession:
-    """One link with an entry."""
+    """A link with one entry."""
 
-    def __init__(self, *, link: Link, links: OwnerSessionHandler) -> None:
+    def __init__(self, *, link: Link, handler: OwnerSessionHandler) -> None:
         self.link = link
         self.member: Member | None = None
-        self.is_near = False
-        """Whether the entry is in the agent's data centre, once it has greeted."""
+        self.is_same_data_centre = False
+        """Whether the entry is in the agent's data centre; set by its hello."""
         self.is_reconciled = False
-        """Whether the entry has compared the runs that it was told of last with its jobs. Before,
-        its words keep none of them alive, since it may have given up some while it was out of
-        reach, and no start of it is taken, since it counts what it was not told of as over."""
+        """Whether the entry has reconciled its jobs with the last worker report. Until then its
+        messages keep no run alive, since it may have given up runs while it was unreachable, and
+        its starts are refused, since it takes runs missing in the report as ended."""
         self.seen = 0
         """The number of the last start that arrived on this link."""
         self.subscriber = RoomAudience()
         self.has_releases = False
-        """Whether the entry was told of room that comes free, and not since that none does."""
+        """Whether the last capacity releases that were sent to the entry had any rows."""
         self.clock_requested_at = float("-inf")
         self.entries_request: int | None = None
-        """The number of the entry's last question which entries are heard here, if it has asked."""
+        """The number of the last request for the reachable entries, or None without one."""
         self._probed_at = float("-inf")
-        self._clock_questions = 0
-        self._lead = LeastLead(drift=STEADY_CLOCK_DRIFT)
-        """This clock against the entry's."""
+        self._clock_requests = 0
+        self._lead = LeastLead(drift=MONOTONIC_CLOCK_DRIFT)
+        """Estimate of the offset between this clock and the entry's."""
         self._sent_ms = 0
         self._report_number = 0
-        """How often the entry was told of the worker."""
-        self._links = links
+        """The number of the last worker report that was sent to the entry."""
+        self._handler = handler
 
     @property
     def owner(self) -> str:
-        """The entry's incarnation, which owns the runs that it starts."""
+        """The entry's incarnation, which owns the runs that it starts; empty before its hello."""
         return self.member.incarnation if self.member else ""
 
     @property
     def frame_sent_at(self) -> float:
-        """When the frame that is being taken in was said at the earliest, by this clock."""
+        """The earliest time, on this clock, at which the current frame can have been sent.
+
+        It is minus infinity before the session is reconciled.
+        """
         if not self.is_reconciled:
             return float("-inf")
         return self._sent_ms / 1000 + self._lead.get(now=clock.monotonic())
 
     def probe(self, *, now: float) -> None:
-        """Ask for a sign of life, since another entry has lost this one."""
+        """Check that the entry responds, since another entry suspects it."""
         if self._probed_at < self.link.received_at:
             self._probed_at = now
             self.request_clock()
 
     def has_missed_probe(self, *, now: float) -> bool:
-        """Tell whether the entry was asked for a sign of life and gave none in time."""
+        """Return whether the entry has not responded to a probe in time."""
         return self._probed_at >= self.link.received_at and now - self._probed_at > PROBE_TIMEOUT_S
 
     def reset_liveness(self, late_s: float) -> None:
-        """Count the entry's silence as shorter, by a time in which this agent did not listen."""
+        """Extend the timeouts by a time in which this process did not read its sockets."""
         self._probed_at = min(self._probed_at + late_s, clock.monotonic())
         self.link.reset_liveness(late_s)
 
     def get_clock_interval_s(self) -> float:
-        """Return the pause after the last question how the entry's clock goes."""
-        return CLOCK_INTERVAL_S if self._clock_questions > 1 else FIRST_CLOCK_INTERVAL_S
+        """Return the interval after the last clock request."""
+        return CLOCK_INTERVAL_S if self._clock_requests > 1 else FIRST_CLOCK_INTERVAL_S
 
     def begin_report(self) -> int:
-        """Begin to tell the entry of the worker anew; return the number of this news."""
+        """Begin a new worker report to the entry; return its number."""
         self.is_reconciled = False
         self._report_number += 1
         return self._report_number
 
-    def handle_reconciled(self, answer: Reconciled) -> None:
-        """Note that the entry has compared its runs, unless it was told anew meanwhile."""
-        self.is_reconciled = answer.number == self._report_number
+    def handle_reconciled(self, message: Reconciled) -> None:
+        """Mark the session as reconciled, unless a newer worker report was sent since."""
+        self.is_reconciled = message.number == self._report_number
 
     def request_clock(self) -> None:
-        """Ask how the entry's clock goes."""
+        """Request a reading of the entry's clock."""
         self.clock_requested_at = clock.monotonic()
-        self._clock_questions += 1
+        self._clock_requests += 1
         self.link.send(ClockRequest(sent_at_ms=int(self.clock_requested_at * 1000)))
 
-    def record_sent_at(self, said: SentAt) -> None:
-        """Note when the frame that is being taken in was said."""
-        self._sent_ms = said.at_ms
+    def record_sent_at(self, message: SentAt) -> None:
+        """Store when the current frame was sent, on the entry's clock."""
+        self._sent_ms = message.at_ms
 
-    def handle_clock(self, answer: ClockResponse) -> None:
-        """Take in how the entry's clock goes: it heard the question after it was sent."""
-        lead_s = (answer.sent_at_ms - answer.received_at_ms) / 1000
+    def handle_clock(self, response: ClockResponse) -> None:
+        """Update the clock offset: the entry received the request after it was sent."""
+        lead_s = (response.sent_at_ms - response.received_at_ms) / 1000
         self._lead.show(lead_s, now=clock.monotonic())
 
     def receive(self, messages: list[EntryMessage]) -> None:
-        """Take in a frame."""
-        self._links.receive(self, messages)
+        """Handle the messages of a frame."""
+        self._handler.receive(self, messages)
 
     def close(self) -> None:
-        """Note that the link has ended."""
-        self._links.end_session(self)
+        """Handle the end of the link."""
+        self._handler.end_session(self)
--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -1,4 +1,4 @@
-"""The agent's links with entries: starts and stops come in, ends and slow runs go out."""
+"""The agent's links with entries, over which it receives orders and reports runs."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class OwnerLinks:
-    """All entries in reach of this agent."""
+    """The links with all entries that this agent can reach."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
             data_centre=data_centre,
             book=book,
             bounds=bounds,
-            make_receiver=lambda link: OwnerSession(link=link, links=self),
+            make_receiver=lambda link: OwnerSession(link=link, handler=self),
         )
         self._sessions: dict[str, OwnerSession] = {}
         self._reports = WorkerReports(
@@ -107,38 +107,39 @@
         self._dialling.start()
 
     def stop_all(self) -> None:
-        """Say goodbye and end all links."""
+        """Send a goodbye on all links and close them."""
         for session in self._sessions.values():
             session.link.send(Goodbye())
             session.link.flush()
         self._dialling.stop()
 
     def reset_all(self) -> None:
-        """Reset all links, so that nothing is acted on that waited in their sockets."""
+        """Reset all links and discard the frames that wait in their sockets."""
         for session in list(self._sessions.values()):
             session.link.reset()
             self.end_session(session)
 
     def receive(self, session: OwnerSession, messages: list[EntryMessage]) -> None:
-        """Take in a frame, unless this process stood still while it waited in the socket."""
+        """Handle a frame, unless it waited in the socket during a process pause."""
         if self._check_pause():
-            # A link without its greeting is in no list yet, and would stay open without one.
+            # A link that has not received its hello yet is not covered by reset_all().
             session.link.reset()
         if not session.link.is_open:
             return
         for message in messages:
-            self._take(session, message)
+            self._handle(session, message)
         if session.frame_sent_at > clock.monotonic():
-            # This host's clock has lost time, as in a suspended one: no age of a word is known.
+            # This host's clock has lost time, for example while suspended: the age of the frame is
+            # unknown.
             log_event("link:clock-lost-time", entry=session.owner)
             session.link.reset()
             self.end_session(session)
             return
-        # After the stops of this frame, which it does not keep alive.
+        # After the stops in this frame: it must not keep alive the runs that it stops.
         self._supervisor.hear(session.owner, said_at=session.frame_sent_at)
 
     def end_session(self, session: OwnerSession) -> None:
-        """Note that a link has ended; its owner's runs go on for as long as patience lasts."""
+        """Handle the end of a link; the owner's runs go on until the owner timeout."""
         if self._sessions.get(session.owner) is session:
             del self._sessions[session.owner]
             name = session.member.name if session.member else ""
@@ -148,29 +149,29 @@
     def report_crash(
         self, worker: str, tasks: tuple[CrashedTask, ...], *, is_observed: bool
     ) -> None:
-        """Tell all entries what ran on a life of the worker that has crashed, or fallen silent."""
+        """Report to all entries what ran on an incarnation that crashed or became unresponsive."""
         crashed = make_worker_crashed(worker, tasks, is_observed=is_observed)
         self._crashes.add(crashed)
         for session in self._sessions.values():
             session.link.send(crashed)
 
-    def record_worker_alive(self, life: str) -> None:
-        """Note that a life of the worker answers, so that it has not ended."""
-        self._crashes.record_alive(life)
+    def record_worker_alive(self, worker: str) -> None:
+        """Record that a worker incarnation responds, so it has not ended."""
+        self._crashes.record_alive(worker)
 
     def report_end(self, report: ReportEnd) -> None:
-        """Tell an owner how a run ended."""
+        """Report to the owner how a run ended."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
-        news = RunEnded(
+        message = RunEnded(
             run=to_row(report.run_id), reason=report.reason, run_s=round(report.run_s, 4)
         )
-        session.link.send(news)
+        session.link.send(message)
         self._reports.note_end(session)
 
     def report_slow(self, report: ReportSlow) -> None:
-        """Tell an owner that a run crawls."""
+        """Report to the owner that a run is slow."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
@@ -185,12 +186,12 @@
         )
 
     def report_departure(self, report: ReportLeaving) -> None:
-        """Tell all entries how long the worker stays at the least."""
+        """Report to all entries when the worker will stop at the earliest."""
         for session in self._sessions.values():
             session.link.send(make_departure(report.in_s))
 
     def report_departure_risk(self, report: ReportCutShort) -> None:
-        """Tell an owner of a run that the worker can't end before it leaves."""
+        """Report to the owner that a run can't end before the worker stops."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
@@ -203,49 +204,49 @@
         )
 
     def mark_capacity_changed(self) -> None:
-        """Note that the room has changed; each entry is told when its pause is over."""
+        """Handle a change of capacity; each entry gets a report when its interval is over."""
         self._reports.note_change(now=clock.monotonic())
 
     def reset_liveness_timers(self, late_s: float) -> None:
-        """Take a time in which this agent did not listen off the silence of all links.
+        """Extend the timeouts of all links by a time in which this process did not read them.
 
-        Only links are forgiven. An owner's runs are stopped when it is silent, whoever's fault that
-        is, since a caller may have submitted the job elsewhere meanwhile.
+        This does not extend owner timeouts: runs are stopped even if the agent itself caused the
+        delay, since a caller may have resubmitted the job to another entry in the meantime.
         """
         for session in self._sessions.values():
             session.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
-        """Send beats and what room reports are due; give up silent links."""
+        """Send heartbeats and due capacity reports; reset links that have timed out."""
         self._reports.refresh(now=now)
         runs = self._supervisor.runs.values()
         busy = {run.request.owner for run in runs}
-        # An owner that has given a run up may have nothing left to beat for.
-        followed = {run.request.owner for run in runs if run.phase is not RunPhase.STOPPING}
+        # An owner whose runs are all being stopped may have no reason to send heartbeats.
+        active = {run.request.owner for run in runs if run.phase is not RunPhase.STOPPING}
         self._review_links(busy, now)
         self._reports.send_due(now=now)
         for session in list(self._sessions.values()):
             is_busy = session.owner in busy
-            pause_s = (
+            interval_s = (
                 self._times.heartbeat_interval_s
                 if is_busy
                 else self._times.idle_heartbeat_interval_s
             )
             if now - session.clock_requested_at >= session.get_clock_interval_s():
                 session.request_clock()
-            elif now - session.link.sent_at >= pause_s:
+            elif now - session.link.sent_at >= interval_s:
                 session.link.send(LinkHeartbeat())
-            # A link that carries runs may be dead one by one, with the owner alive: its runs are
-            # stopped anyway after this time, and only a new link gives it the worker back.
-            is_followed = session.owner in followed
-            limit_s = self._times.link_timeout_s if is_followed else self._times.idle_link_timeout_s
+            # A link may fail while its owner is alive. Its runs are stopped after this time anyway,
+            # and the owner can use the worker again only over a new link.
+            is_active = session.owner in active
+            limit_s = self._times.link_timeout_s if is_active else self._times.idle_link_timeout_s
             if session.has_missed_probe(now=now) or now - session.link.received_at > limit_s:
                 session.link.reset()
                 self.end_session(session)
         self._relay.report_changes()
 
     def _review_links(self, busy: set[str], now: float) -> None:
-        """Let the choice of entries be reviewed; those whose runs go on here keep their links."""
+        """Review the choice of entries; links of entries with runs here are kept."""
         names = {
             session.member.name
             for session in self._sessions.values()
@@ -253,22 +254,22 @@
         }
         self._dialling.review(busy=names, is_linked=bool(self._sessions), now=now)
 
-    def _take(self, session: OwnerSession, message: EntryMessage) -> None:
+    def _handle(self, session: OwnerSession, message: EntryMessage) -> None:
         match message:
             case SentAt():
                 session.record_sent_at(message)
             case ClockResponse():
                 session.handle_clock(message)
             case EntryHello():
-                self._greet(session, message)
+                self._handle_hello(session, message)
             case EvacuationUpdate():
-                self._take_evacuations(session, message)
+                self._handle_evacuations(session, message)
             case MemberUpdate():
                 self._book.add_members(to_member(row) for row in message.members)
             case Reconciled():
                 session.handle_reconciled(message)
             case Starts():
-                self._take_starts(session, message)
+                self._handle_starts(session, message)
             case Stop():
                 row = message.run
                 run_id = RunId(row.job, TaskKey(row.step, row.position), row.run)
@@ -287,21 +288,21 @@
             case LinkHeartbeat() | Goodbye():
                 pass
 
-    def _take_evacuations(self, session: OwnerSession, news: EvacuationUpdate) -> None:
-        """Take in what an entry has heard; one that is behind hears it from other entries."""
+    def _handle_evacuations(self, session: OwnerSession, update: EvacuationUpdate) -> None:
+        """Apply an update. An entry that is behind gets the newer state from other entries."""
         self._evacuations.handle_update(
-            news, source=session.member.name if session.member else "entry"
+            update, source=session.member.name if session.member else "entry"
         )
 
-    def _greet(self, session: OwnerSession, hello: EntryHello) -> None:
+    def _handle_hello(self, session: OwnerSession, hello: EntryHello) -> None:
         session.member = to_member(hello.member)
-        session.is_near = session.member.data_centre == self._data_centre
+        session.is_same_data_centre = session.member.data_centre == self._data_centre
         before = self._sessions.get(session.owner)
         self._sessions[session.owner] = session
         if before is not None and before is not session:
-            # What is still under way there is missing in what this link tells of runs.
+            # Messages in transit on the old link are not covered by the report on this one.
             before.link.reset()
-        self._end_earlier_lives(session.member)
+        self._end_earlier_incarnations(session.member)
         self._book.add_members([session.member])
         session.request_clock()
         session.link.send(
@@ -312,16 +313,17 @@
             )
         )
         for crashed in self._crashes.crashes:
-            # Before the runs that are there: one that is missing there may have ended its worker.
+            # Sent before the list of runs: a task missing in it may have crashed the worker.
             session.link.send(crashed)
         self._supervisor.forget_told(session.owner)
-        self._reports.greet(session, now=clock.monotonic())
+        self._reports.send_initial_reports(session, now=clock.monotonic())
         log_event("entry:link", entry=session.member.name, runs=self._count_runs(session))
 
-    def _end_earlier_lives(self, member: Member) -> None:
-        """End links with lives that an entry had before the one that has greeted.
+    def _end_earlier_incarnations(self, member: Member) -> None:
+        """Reset links with earlier incarnations of an entry.
 
-        Their host may have lost power, and other entries are told meanwhile that they are heard.
+        After a power loss such links stay open until they time out, and other entries would be told
+        in the meantime that the earlier incarnation is reachable.
         """
         for session in list(self._sessions.values()):
             known = session.member
@@ -329,7 +331,7 @@
                 session.link.reset()
                 self.end_session(session)
 
-    def _take_starts(self, session: OwnerSession, starts: Starts) -> None:
+    def _handle_starts(self, session: OwnerSession, starts: Starts) -> None:
         session.subscriber.want = to_capacity_request(starts.request)
         for row in starts.tasks:
             session.seen = max(session.seen, row.number)
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -1,4 +1,4 @@
-"""The process of an agent: puts its parts together and keeps its clock."""
+"""The agent process: creates the components and checks their timeouts."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 __all__ = ["FleetAgentProcess"]
 
 SEEDS_TIMEOUT_S = 2.0
-"""How long the seeds are tried before the store is read for other entries."""
+"""How long the agent tries the seeds before it reads other entries from the store, in seconds."""
 STORE_RETRY_S = 3.0
-"""Pause between two such readings; each is priced."""
+"""Interval between reads of the store, in seconds; the platform charges for each read."""
 
 
 class FleetAgentProcess(BaseFleetProcess):
@@ -50,7 +50,7 @@
         )
         self._worker = WorkerLoop(supervisor=self._supervisor, driver=driver, metrics=self._metrics)
         self._evacuations = EvacuationsInForce(metrics=self._metrics)
-        self._evacuations.on_change(self._spare_evacuated)
+        self._evacuations.on_change(self._apply_evacuations)
         self._owners = OwnerLinks(
             name=settings.name,
             incarnation=make_incarnation(),
@@ -66,7 +66,7 @@
             stop=self._worker.stop,
             handle_capacity_request=self._worker.handle_capacity_request
             if settings.load.preempts
-            else _pass_over,
+            else _ignore_request,
             check_pause=self._check_pause,
         )
         self._worker.set_owners(self._owners)
@@ -79,7 +79,7 @@
         self._pauses = PauseWatch(limit_s=self._times.owner_timeout_s)
 
     async def start(self) -> None:
-        """Listen to the worker, dial the entries."""
+        """Start to listen to the worker and to dial the entries."""
         self._registration.start()
         self._start_metrics()
         self._owners.dial_all()
@@ -88,7 +88,7 @@
         log_event("process:started", seeds=self._settings.seeds)
 
     async def drain(self) -> None:
-        """Take no more starts and let what runs come to its end."""
+        """Refuse further starts and wait for the current runs to end."""
         log_event("process:stopping", runs=len(self._supervisor.runs))
         self._worker.apply(self._supervisor.drain())
         end_by = clock.monotonic() + self._get_drain_s()
@@ -97,17 +97,17 @@
         log_event("process:stopped", runs=len(self._supervisor.runs))
 
     def get_unfinished(self) -> list[str]:
-        """Return the runs that ending now would cut off."""
+        """Return the runs that a stop of this process would interrupt."""
         return [f"run {run_id}" for run_id in self._supervisor.runs]
 
     def get_state(self) -> dict[str, object]:
-        """Return the dump."""
-        life = self._supervisor.life
+        """Return the state for the operators' endpoint ``/state``."""
+        incarnation = self._supervisor.life
         left_s = self._supervisor.get_left_s(now=clock.monotonic())
         speed = self._supervisor.speeds.get_speed()
         return {
             "name": self._settings.name,
-            "worker": life.id if life else None,
+            "worker": incarnation.id if incarnation else None,
             "is_accepting": self._supervisor.is_accepting(now=clock.monotonic()),
             "evacuated": sorted(self._evacuations.data_centres),
             "leaves_in_s": None if left_s is None else round(left_s, 3),
@@ -125,8 +125,8 @@
             "entries": len(self._owners),
         }
 
-    def _spare_evacuated(self, evacuations: Evacuations) -> None:
-        """Take no starts while the worker's data centre is evacuated."""
+    def _apply_evacuations(self, evacuations: Evacuations) -> None:
+        """Refuse starts while the worker's data centre is evacuated."""
         self._worker.apply(self._supervisor.set_evacuated(evacuations.data_centres))
 
     async def _close_parts(self) -> None:
@@ -134,27 +134,27 @@
         await self._registration.close()
 
     def _reset_liveness_timers(self, late_s: float) -> None:
-        """Take the time that this process was late itself off the silence of all links."""
+        """Extend the timeouts of all links by the delay of this process."""
         self._owners.reset_liveness_timers(late_s)
 
     def _recover_from_pause(self) -> None:
-        """Drop all links: what waited there may be out of date."""
+        """Reset all links: the frames that wait there may be out of date."""
         self._owners.reset_all()
 
     @property
     def _is_busy(self) -> bool:
-        """Whether something runs on the worker."""
+        """Whether there is any work on the worker."""
         return self._supervisor.has_work
 
     def _tick(self) -> None:
         self._check_pause()
         now = clock.monotonic()
-        # Links first: a silent owner's runs are stopped in the same turn, and count no more then.
+        # Links first, so that runs which the worker loop stops in this tick still count as active.
         self._owners.tick(now)
         self._worker.tick(now)
 
     async def _find_entries(self) -> None:
-        """Read the store for entries while none is in reach."""
+        """Read entries from the store while none is reachable."""
         while True:
             await asyncio.sleep(SEEDS_TIMEOUT_S)
             if len(self._owners):
@@ -165,5 +165,5 @@
             await asyncio.sleep(STORE_RETRY_S)
 
 
-def _pass_over(owner: str, want: Want | None, said_at: float) -> None:
-    """Make no room for an owner: the deployment does not ask for preemption."""
+def _ignore_request(owner: str, request: Want | None, sent_at: float) -> None:
+    """Ignore a capacity request: preemption is disabled in the settings."""
--- a/dalemast/fleet/agent/relay.py
+++ b/dalemast/fleet/agent/relay.py
@@ -1,8 +1,8 @@
-"""An agent between entries that can't reach each other: it says whom it hears and relays frames.
+"""Forwarding of frames between entries that can't reach each other, by an agent linked with both.
 
-It keeps no routes. A frame goes to the receiver's link as it is now, or the sender is told that its
-route has ended; both ends of a route watch its beats, so that frames that were lost with a link end
-it as the loss of a connection would.
+The agent stores no routes. It sends a frame to the receiver's current link, or reports the end of
+the route to the sender. Both ends of a route check its heartbeats, so frames that are lost with a
+link end the route as the loss of a connection would.
 """
 
 from __future__ import annotations
@@ -20,39 +20,39 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ReachableState:
-    """The owners that are linked, and the jobs that still run for others."""
+    """The linked owners, and the jobs with runs of other owners."""
 
     owners: frozenset[str] = frozenset()
     left_jobs: frozenset[str] = frozenset()
 
 
 class EntryRelay:
-    """Serves entries that ask for one another.
+    """Reports reachable entries and forwards frames between entries.
 
-    ``sessions`` are the links with entries, by owner; their keeper adds to them and takes away.
+    ``sessions`` maps owners to their sessions and is updated by the caller.
     """
 
     def __init__(self, *, sessions: Mapping[str, OwnerSession], supervisor: Supervisor) -> None:
         self._sessions = sessions
         self._supervisor = supervisor
-        self._told = ReachableState()
-        """What was so when entries were told last."""
+        self._reported = ReachableState()
+        """The state in the last report."""
 
-    def handle_request(self, session: OwnerSession, ask: ReachableEntriesRequest) -> None:
-        """Answer an entry now and from now on, and find out whether its suspects are there."""
-        session.entries_request = ask.number
+    def handle_request(self, session: OwnerSession, request: ReachableEntriesRequest) -> None:
+        """Report the reachable entries now and after changes, and probe the suspects."""
+        session.entries_request = request.number
         now = clock.monotonic()
-        for owner in ask.suspects:
+        for owner in request.suspects:
             suspect = self._sessions.get(owner)
             if suspect is not None:
                 suspect.probe(now=now)
-        self._tell(session, self._hear())
+        self._report(session, self._get_state())
 
     def forward(self, session: OwnerSession, message: Relayed | RouteEnded) -> None:
-        """Pass a frame or the end of a route on to its receiver."""
+        """Forward a frame or the end of a route to its receiver."""
         receiver = self._sessions.get(message.receiver)
         if message.sender != session.owner:
-            # Another life of this entry has this link by now; the one that sent it is over.
+            # The sender is an earlier incarnation of this entry, which has ended.
             return
         if receiver is not None and receiver.link.is_open:
             receiver.link.send(message)
@@ -63,16 +63,16 @@
             session.link.send(ended)
 
     def report_changes(self) -> None:
-        """Tell the entries that have asked, if something is other than they were told last."""
-        heard = self._hear()
-        if heard == self._told:
+        """Report the state to the entries that requested it, if it has changed."""
+        state = self._get_state()
+        if state == self._reported:
             return
-        self._told = heard
+        self._reported = state
         for session in self._sessions.values():
             if session.entries_request is not None:
-                self._tell(session, heard)
+                self._report(session, state)
 
-    def _hear(self) -> ReachableState:
+    def _get_state(self) -> ReachableState:
         runs = self._supervisor.runs.values()
         left = {
             run.request.run_id.job_id for run in runs if run.request.owner not in self._sessions
@@ -80,10 +80,10 @@
         left.update(run_id.job_id for run_id in self._supervisor.strays)
         return ReachableState(owners=frozenset(self._sessions), left_jobs=frozenset(left))
 
-    def _tell(self, session: OwnerSession, heard: ReachableState) -> None:
-        news = ReachableEntries(
+    def _report(self, session: OwnerSession, state: ReachableState) -> None:
+        message = ReachableEntries(
             number=session.entries_request or 0,
-            entries=tuple(sorted(heard.owners - {session.owner})),
-            left_jobs=tuple(sorted(heard.left_jobs)),
+            entries=tuple(sorted(state.owners - {session.owner})),
+            left_jobs=tuple(sorted(state.left_jobs)),
         )
-        session.link.send(news)
+        session.link.send(message)
--- a/dalemast/fleet/agent/stops.py
+++ b/dalemast/fleet/agent/stops.py
@@ -1,4 +1,4 @@
-"""The stops that were said to the worker: how often each, and when it may be said again."""
+"""The stop orders that were sent to the worker, and when each may be repeated."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 __all__ = ["STOP_RETRY_S", "SentStop", "StopTracker"]
 
 STOP_RETRY_S = 0.15
-"""Pause before a stop is said again; a stop takes at most 50 ms."""
+"""Interval before a stop is repeated, in seconds; longer than a stop may take."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SentStop:
-    """How often one run was told to stop, and when first and last, by the agent's steady clock."""
+    """The number of stops sent for a run, and the times of the first and the last one."""
 
     tries: int
     first_at: float
@@ -22,23 +22,23 @@
 
 
 class StopTracker:
-    """Keeps the stops of runs that have not ended yet."""
+    """Tracks the stops of runs that have not ended yet."""
 
     def __init__(self) -> None:
-        self._said: dict[RunId, SentStop] = {}
+        self._sent: dict[RunId, SentStop] = {}
 
-    def say(self, run_id: RunId, *, now: float) -> SentStop | None:
-        """Note that a run is told to stop; return None if it was told a moment ago."""
-        known = self._said.get(run_id)
+    def record(self, run_id: RunId, *, now: float) -> SentStop | None:
+        """Record a stop that is to be sent, or return None if the last one was too recent."""
+        known = self._sent.get(run_id)
         if known is None:
-            said = SentStop(tries=1, first_at=now, last_at=now)
+            sent = SentStop(tries=1, first_at=now, last_at=now)
         elif now - known.last_at < STOP_RETRY_S:
             return None
         else:
-            said = SentStop(tries=known.tries + 1, first_at=known.first_at, last_at=now)
-        self._said[run_id] = said
-        return said
+            sent = SentStop(tries=known.tries + 1, first_at=known.first_at, last_at=now)
+        self._sent[run_id] = sent
+        return sent
 
     def forget(self, run_id: RunId) -> None:
-        """Note that a run has ended."""
-        self._said.pop(run_id, None)
+        """Drop the stops of a run that has ended."""
+        self._sent.pop(run_id, None)
--- a/dalemast/fleet/agent/worker.py
+++ b/dalemast/fleet/agent/worker.py
@@ -1,4 +1,4 @@
-"""Drives the worker: carries out the supervisor's orders and looks at what runs there."""
+"""Controls the worker: sends the supervisor's orders and polls its runs."""
 
 from __future__ import annotations
 
@@ -34,25 +34,25 @@
 __all__ = ["WorkerLoop"]
 
 REFUSED_RETRY_S = 0.02
-"""Pause after a connection was refused, before it is tried once more."""
+"""Delay before the retry after a refused connection, in seconds."""
 ORPHANS_POLL_INTERVAL_S = 0.02
-"""Pause between looks while nothing of ours runs: something that was told to stop does."""
+"""Delay after a poll, in seconds, while only orphaned runs, which are being stopped, are left."""
 LOGGED_UNANSWERED_POLLS = 2
-"""Looks in a row without an answer that are worth a line in the log."""
+"""Number of consecutive unanswered polls at which the worker is logged as unresponsive."""
 MAX_IDLE_SLEEP_S = 0.5
-"""Longest sleep while nothing runs; a start wakes the loop."""
+"""Maximum sleep while nothing runs, in seconds; a start wakes the loop."""
 IDLE_POLL_INTERVAL_S = 2.0
-"""Pause between looks while nothing runs. They follow the worker's clock: a lease is shorter by 2 %
-of the time since it was read last, 0.04 s at the most so."""
+"""Interval between polls while nothing runs, in seconds. These polls read the worker's clock: a
+reading that is too old shortens the leases by the possible clock error."""
 MAX_LOGGED_TASKS = 20
-"""Tasks that the line of a lost worker names; more than run on one."""
+"""Maximum number of tasks in the log line of a lost worker."""
 LATE_START_S = 0.1
-"""A start that took longer has a line in the log: a worker answers within some milliseconds, and
-the try that was carried out was a further one, or this process stood still before it."""
+"""Starts that take longer, in seconds, are logged: they needed a retry or were delayed by a process
+pause."""
 
 
 class WorkerLoop:
-    """One task that looks, and one short task for each order."""
+    """Polls the worker in one task, and sends each order in a task of its own."""
 
     def __init__(
         self, *, supervisor: Supervisor, driver: BaseWorkerDriver, metrics: Metrics
@@ -63,81 +63,93 @@
         self._owners: OwnerLinks | None = None
         self._wake = asyncio.Event()
         self._orders: set[asyncio.Task[None]] = set()
-        self._addressed_life = ""
-        self._doubtful_life = ""
-        self._looks = LookSchedule()
+        self._addressed_id = ""
+        self._rejected_id = ""
+        self._polls = LookSchedule()
         self._refused = 0
-        self._looked_at = float("-inf")
+        self._polled_at = float("-inf")
         self._answered_at = float("-inf")
-        """When the last call was made that the worker has answered."""
+        """When the last call was sent that the worker has responded to."""
         self._stops = StopTracker()
 
     def set_owners(self, owners: OwnerLinks) -> None:
-        """Take who is told of ends and room."""
+        """Set the links over which ends and capacity are reported."""
         self._owners = owners
 
-    def register_incarnation(self, life: WorkerLife) -> None:
-        """Take in the worker's account of itself."""
+    def register_incarnation(self, incarnation: WorkerLife) -> None:
+        """Handle a report of the worker."""
         known = self._supervisor.life
-        if known is not None and known.id == life.id and known.is_leaving != life.is_leaving:
-            log_event("worker:leaving", worker=life.id, remaining_s=life.remaining_s)
-        if known is not None and known.id == life.id and known.capacity != life.capacity:
+        if (
+            known is not None
+            and known.id == incarnation.id
+            and known.is_leaving != incarnation.is_leaving
+        ):
+            log_event("worker:leaving", worker=incarnation.id, remaining_s=incarnation.remaining_s)
+        if (
+            known is not None
+            and known.id == incarnation.id
+            and known.capacity != incarnation.capacity
+        ):
             log_event(
                 "worker:resized",
-                worker=life.id,
-                cpu=life.capacity.cpu,
+                worker=incarnation.id,
+                cpu=incarnation.capacity.cpu,
                 cpu_before=known.capacity.cpu,
-                memory_mb=life.capacity.memory_mb,
-                free_cpu=life.capacity.cpu - known.capacity.cpu + self._supervisor.get_free().cpu,
+                memory_mb=incarnation.capacity.memory_mb,
+                free_cpu=incarnation.capacity.cpu
+                - known.capacity.cpu
+                + self._supervisor.get_free().cpu,
             )
-        actions = self._supervisor.meet_life(life, now=clock.monotonic())
-        believed = self._supervisor.life
-        if believed is None or believed.id != life.id:
-            self._note_doubtful(life.id, believed)
-        self._follow_life()
+        actions = self._supervisor.meet_life(incarnation, now=clock.monotonic())
+        accepted = self._supervisor.life
+        if accepted is None or accepted.id != incarnation.id:
+            self._log_rejected(incarnation.id, accepted)
+        self._follow_incarnation()
         self.apply(actions)
         self._wake.set()
 
-    def _note_doubtful(self, life_id: str, believed: WorkerLife | None) -> None:
-        """Tell of a report that names another life, once for each that follows another."""
-        if life_id == self._doubtful_life:
+    def _log_rejected(self, incarnation_id: str, accepted: WorkerLife | None) -> None:
+        """Log a report of an incarnation that was not accepted, once for consecutive reports."""
+        if incarnation_id == self._rejected_id:
             return
-        self._doubtful_life = life_id
+        self._rejected_id = incarnation_id
         log_event(
-            "worker:doubtful-report", worker=life_id, believed=believed.id if believed else ""
+            "worker:doubtful-report",
+            worker=incarnation_id,
+            believed=accepted.id if accepted else "",
         )
 
-    def lose_incarnation(self, life_id: str) -> None:
-        """Note that a life of the worker has said that it ends."""
-        log_event("worker:deregistered", worker=life_id)
-        self._change_life(lambda: self._supervisor.end_life(life_id))
+    def lose_incarnation(self, incarnation_id: str) -> None:
+        """Handle the deregistration of a worker incarnation."""
+        log_event("worker:deregistered", worker=incarnation_id)
+        self._change_incarnation(lambda: self._supervisor.end_life(incarnation_id))
 
-    def restore_incarnation(self, life_id: str) -> None:
-        """Note that it was another writer that said so."""
-        if self._supervisor.restore_life(life_id):
-            log_event("worker:restored", worker=life_id)
+    def restore_incarnation(self, incarnation_id: str) -> None:
+        """Undo a deregistration that another writer sent."""
+        if self._supervisor.restore_life(incarnation_id):
+            log_event("worker:restored", worker=incarnation_id)
             self.apply([ReportRoom()])
 
     def start(self, request: StartRequest) -> None:
-        """Take an owner's start."""
+        """Handle a start order of an owner."""
         self.apply(self._supervisor.start(request, now=clock.monotonic()))
 
     def stop(self, run_id: RunId, owner: str) -> None:
-        """Take an owner's stop."""
+        """Handle a stop order of an owner."""
         self.apply(self._supervisor.stop(run_id, owner=owner, now=clock.monotonic()))
 
-    def handle_capacity_request(self, owner: str, want: Want | None, said_at: float) -> None:
-        """Make room for an owner that asks for it, or give back what was kept for it."""
+    def handle_capacity_request(self, owner: str, request: Want | None, sent_at: float) -> None:
+        """Preempt runs for a capacity request, or release the owner's reservation if it is None."""
         now = clock.monotonic()
-        if want is None:
+        if request is None:
             self.apply(self._supervisor.withdraw(owner))
         else:
-            self.apply(self._supervisor.preempt(owner, want, said_at=said_at, now=now))
+            self.apply(self._supervisor.preempt(owner, request, said_at=sent_at, now=now))
 
     def apply(self, actions: list[Action]) -> None:
-        """Carry out what the supervisor decided."""
+        """Carry out the actions of the supervisor."""
         assert self._owners is not None
-        is_room_due = False
+        has_capacity_changed = False
         for action in actions:
             match action:
                 case OrderStart():
@@ -145,7 +157,7 @@
                 case OrderStop():
                     self._order_stop_once(action.run_id)
                 case PreemptRun():
-                    self._note_preemption(action)
+                    self._log_preemption(action)
                     self._order_stop_once(action.run_id)
                 case ReportEnd():
                     self._count_end(action)
@@ -158,24 +170,24 @@
                     self._metrics.count("runs.cut-short")
                     self._owners.report_departure_risk(action)
                 case ReportRoom():
-                    is_room_due = True
-        if is_room_due:
+                    has_capacity_changed = True
+        if has_capacity_changed:
             self._owners.mark_capacity_changed()
         if self._supervisor.has_work:
             self._wake.set()
 
     def tick(self, now: float) -> None:
-        """Stop the runs of silent owners, and say stops again that had no effect."""
+        """Stop the runs of owners that have timed out, and repeat stops that had no effect."""
         actions = self._supervisor.tick(now=now)
-        self._log_owner_silence(actions, now)
+        self._log_owner_timeouts(actions, now)
         self.apply(actions)
         for run_id in self._supervisor.get_unstopped(now=now, older_than_s=STOP_RETRY_S):
             self._order_stop_once(run_id)
 
     async def run(self) -> None:
-        """Look at the worker for as long as there is something to see."""
+        """Poll the worker, and sleep while no poll is due; run until cancelled."""
         while True:
-            if not self._is_look_due():
+            if not self._is_poll_due():
                 self._wake.clear()
                 try:
                     await asyncio.wait_for(self._wake.wait(), MAX_IDLE_SLEEP_S)
@@ -184,69 +196,71 @@
                 continue
             await self._poll()
 
-    def _is_look_due(self) -> bool:
+    def _is_poll_due(self) -> bool:
         if self._supervisor.life is None:
             return False
         return (
-            self._supervisor.has_work or clock.monotonic() - self._looked_at > IDLE_POLL_INTERVAL_S
+            self._supervisor.has_work or clock.monotonic() - self._polled_at > IDLE_POLL_INTERVAL_S
         )
 
     async def _poll(self) -> None:
         assert self._owners is not None
-        is_waiting = bool(self._supervisor.runs)
-        self._looked_at = clock.monotonic()
-        plan = self._looks.plan(has_runs=is_waiting, now=self._looked_at)
+        has_runs = bool(self._supervisor.runs)
+        self._polled_at = clock.monotonic()
+        plan = self._polls.plan(has_runs=has_runs, now=self._polled_at)
         try:
-            look = await self._driver.poll(plan, limit=self._supervisor.get_lease_limit())
+            result = await self._driver.poll(plan, limit=self._supervisor.get_lease_limit())
         except WorkerUnanswered:
-            self._looks.note_unanswered()
-            self._note_silence()
+            self._polls.note_unanswered()
+            self._check_unresponsive()
             lease_left_s = self._driver.leased_until - clock.monotonic()
-            await asyncio.sleep(self._looks.get_pause_s(lease_left_s=lease_left_s))
-            self._give_up_lapsed()
+            await asyncio.sleep(self._polls.get_pause_s(lease_left_s=lease_left_s))
+            self._give_up_expired()
             return
         except WorkerReplaced as error:
             log_event("worker:replaced", reason=str(error))
-            self._change_life(lambda: self._supervisor.lose_life(is_over=True))
+            self._change_incarnation(lambda: self._supervisor.lose_life(is_over=True))
             return
         except WorkerGone as error:
-            await self._note_refused(str(error))
+            await self._handle_refused(str(error))
             return
         now = clock.monotonic()
-        self._looks.note_answer(now=now)
-        self._answered_at = max(self._answered_at, look.asked_at)
+        self._polls.note_answer(now=now)
+        self._answered_at = max(self._answered_at, result.asked_at)
         self._refused = 0
-        life = self._supervisor.life
-        if life is not None:
-            self._owners.record_worker_alive(life.id)
-        actions = self._supervisor.look(look.running, look.ended, asked_at=look.asked_at, now=now)
+        incarnation = self._supervisor.life
+        if incarnation is not None:
+            self._owners.record_worker_alive(incarnation.id)
+        actions = self._supervisor.look(
+            result.running, result.ended, asked_at=result.asked_at, now=now
+        )
         self.apply(actions)
-        if not is_waiting and self._supervisor.has_work:
+        if not has_runs and self._supervisor.has_work:
             await asyncio.sleep(ORPHANS_POLL_INTERVAL_S)
 
-    def _note_silence(self) -> None:
-        if self._looks.shows_silence(now=clock.monotonic()):
+    def _check_unresponsive(self) -> None:
+        if self._polls.shows_silence(now=clock.monotonic()):
             self.apply(self._supervisor.note_silence())
-        if self._looks.unanswered == LOGGED_UNANSWERED_POLLS:
+        if self._polls.unanswered == LOGGED_UNANSWERED_POLLS:
             log_event("worker:silent", runs=len(self._supervisor.runs))
 
-    def _give_up_lapsed(self) -> None:
-        """Give a silent worker up once all that it ran has lapsed, so that it can run elsewhere."""
+    def _give_up_expired(self) -> None:
+        """Give up an unresponsive worker once its leases have expired, so its tasks can restart."""
         if clock.monotonic() > self._driver.leased_until:
-            self._change_life(lambda: self._supervisor.lose_life(is_over=False))
+            self._change_incarnation(lambda: self._supervisor.lose_life(is_over=False))
 
-    async def _note_refused(self, reason: str) -> None:
-        """A refused connection may be a reset in passing: only two in a row end the life."""
+    async def _handle_refused(self, reason: str) -> None:
+        """Give up the incarnation after two refused connections in a row; one may be transient."""
         self._refused += 1
         if self._refused < 2:
             await asyncio.sleep(REFUSED_RETRY_S)
             return
         log_event("worker:refused", reason=reason)
         self._refused = 0
-        self._change_life(lambda: self._supervisor.lose_life(is_over=False, is_refused=True))
+        self._change_incarnation(lambda: self._supervisor.lose_life(is_over=False, is_refused=True))
 
-    def _change_life(self, change: Callable[[], list[Action]]) -> None:
-        """Let the supervisor give a life up, and address calls to the one it believes in then."""
+    def _change_incarnation(self, change: Callable[[], list[Action]]) -> None:
+        """Apply a change to the supervisor, and address calls to the resulting incarnation."""
         before = self._supervisor.life
         runs = list(self._supervisor.runs.values())
         is_planned = self._supervisor.is_leaving
@@ -257,45 +271,45 @@
                 isinstance(action, ReportEnd) and action.reason is EndReason.CRASHED
                 for action in actions
             )
-            self._note_gone(before, runs, has_crashed=has_crashed, is_planned=is_planned)
-        self._follow_life()
+            self._report_gone(before, runs, has_crashed=has_crashed, is_planned=is_planned)
+        self._follow_incarnation()
         self.apply(actions)
 
-    def _note_gone(
-        self, life: WorkerLife, runs: list[Run], *, has_crashed: bool, is_planned: bool
+    def _report_gone(
+        self, incarnation: WorkerLife, runs: list[Run], *, has_crashed: bool, is_planned: bool
     ) -> None:
-        """Tell how a life ended, and what ran on it: one of its tasks may have ended it."""
+        """Report the end of an incarnation and what ran on it: a task may have crashed it."""
         assert self._owners is not None
         now = clock.monotonic()
         self._metrics.count("workers.crashed" if has_crashed else "workers.gone")
         if runs and not is_planned:
-            # Before the ends of the runs, which let their owners start the tasks anew. Where the
-            # worker has answered nothing for a lease, as this process stood still, they may have
-            # lapsed before.
+            # Sent before the ends of the runs, since owners then restart the tasks. If there was no
+            # response for a whole lease, for example during a process pause, the runs may have
+            # ended before the crash, which then does not count as observed.
             is_observed = has_crashed and now - self._answered_at <= self._supervisor.lease_s
             tasks = list_crashed(runs, ended_at=now if is_observed else None)
-            self._owners.report_crash(life.id, tasks, is_observed=is_observed)
+            self._owners.report_crash(incarnation.id, tasks, is_observed=is_observed)
         log_event(
             "worker:gone",
-            worker=life.id,
+            worker=incarnation.id,
             runs=len(runs),
             has_crashed=has_crashed,
             tasks=[_describe(run, now) for run in runs[:MAX_LOGGED_TASKS]],
         )
 
-    def _follow_life(self) -> None:
-        """Address calls to the life that the supervisor believes in."""
-        life = self._supervisor.life
-        if life is None:
-            self._addressed_life = ""
+    def _follow_incarnation(self) -> None:
+        """Address calls to the current incarnation of the supervisor."""
+        incarnation = self._supervisor.life
+        if incarnation is None:
+            self._addressed_id = ""
             return
-        if life.id == self._addressed_life:
+        if incarnation.id == self._addressed_id:
             return
-        self._addressed_life = life.id
-        self._driver.register(life)
-        self._looks.begin_life()
+        self._addressed_id = incarnation.id
+        self._driver.register(incarnation)
+        self._polls.begin_life()
         self._refused = 0
-        log_event("worker:met", worker=life.id, cpu=life.capacity.cpu)
+        log_event("worker:met", worker=incarnation.id, cpu=incarnation.capacity.cpu)
 
     async def _order_start(self, request: StartRequest) -> None:
         began = clock.monotonic()
@@ -327,8 +341,8 @@
             took_s=round(took_s, 3),
         )
 
-    def _log_owner_silence(self, actions: list[Action], now: float) -> None:
-        """Tell which runs are stopped since their owner has been silent for too long."""
+    def _log_owner_timeouts(self, actions: list[Action], now: float) -> None:
+        """Log the runs that are stopped because of the owner timeout."""
         for action in actions:
             if isinstance(action, OrderStop):
                 self._metrics.count("runs.ownerless")
@@ -340,9 +354,9 @@
                     lease_left_s=round(self._driver.leased_until - now, 3),
                 )
 
-    def _note_preemption(self, action: PreemptRun) -> None:
-        """Tell which run gives way; ``runs.preempted`` counts it once it has surely ended."""
-        life = self._supervisor.life
+    def _log_preemption(self, action: PreemptRun) -> None:
+        """Log the preemption of a run; ``runs.preempted`` counts it once the run has ended."""
+        incarnation = self._supervisor.life
         self._metrics.count("preemption.lost-core-ms", round(1000 * action.lost_core_s))
         log_event(
             "run:preempted",
@@ -350,7 +364,7 @@
             step=action.run_id.task.step,
             position=action.run_id.task.position,
             run=action.run_id.run,
-            worker=life.id if life else "",
+            worker=incarnation.id if incarnation else "",
             priority=action.priority,
             for_priority=action.preempts_from - 1,
             age_s=round(action.age_s, 3),
@@ -359,18 +373,18 @@
 
     def _order_stop_once(self, run_id: RunId) -> None:
         now = clock.monotonic()
-        said = self._stops.say(run_id, now=now)
-        if said is None:
+        sent = self._stops.record(run_id, now=now)
+        if sent is None:
             return
-        if said.tries > 1:
+        if sent.tries > 1:
             self._metrics.count("stops.repeated")
             log_event(
                 "stop:repeated",
                 job=run_id.job_id,
                 position=run_id.task.position,
                 run=run_id.run,
-                tries=said.tries,
-                since_s=round(now - said.first_at, 3),
+                tries=sent.tries,
+                since_s=round(now - sent.first_at, 3),
                 lease_left_s=round(self._driver.leased_until - now, 3),
             )
         self._spawn(self._order_stop(run_id))
--- a/dalemast/fleet/backends.py
+++ b/dalemast/fleet/backends.py
@@ -1,4 +1,4 @@
-"""Backends of the platform, named by dotted path in the settings."""
+"""Loading of platform backends, which settings name by dotted path."""
 
 from __future__ import annotations
 
@@ -9,6 +9,6 @@
 
 
 def load_backend(path: str, **arguments: Any) -> Any:
-    """Make the object whose class a dotted path names."""
+    """Create an instance of the class at a dotted path."""
     module, _, name = path.rpartition(".")
     return getattr(importlib.import_module(module), name)(**arguments)
--- a/dalemast/fleet/base.py
+++ b/dalemast/fleet/base.py
@@ -1,4 +1,4 @@
-"""What the fleet's processes need of a platform. Backends are named by dotted path in settings."""
+"""Interfaces of platform backends, which settings name by dotted path."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """One life of an entry. ``address`` is where its links are accepted, an IP number and port."""
+    """One incarnation of an entry. ``address``, an IP address and port, accepts its links."""
 
     name: str
     incarnation: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Configuration:
-    """One accepted version of the operators' declarations."""
+    """One accepted version of the operators' configuration."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -62,14 +62,14 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobDone:
-    """The job has ended; this is its answer."""
+    """The job has ended in this state."""
 
     state: JobState
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobTurnedAway:
-    """None of the job has run nor ever will under this submission."""
+    """The submission was rejected; no task of the job has run or will run for it."""
 
     cause: str
     retry_after_s: float
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobDropped:
-    """The job may have run in part and is not followed here any more; it may be sent again."""
+    """The entry no longer tracks the job, which may have run in part; it may be resubmitted."""
 
     cause: str
 
@@ -86,29 +86,29 @@
 
 
 class Jobs(Protocol):
-    """What an ingress needs of an entry."""
+    """The interface of an entry that an ingress uses."""
 
     @property
     def is_ready(self) -> bool:
-        """Whether new connections should come here."""
+        """Whether the entry accepts new connections."""
 
     @property
     def is_draining(self) -> bool:
-        """Whether connections should end with their next answer."""
+        """Whether connections are to be closed after their next response."""
 
     @property
     def queues(self) -> QueueTable:
-        """The configuration in force; raises ``QueuesUnknown`` when there is none yet."""
+        """The queues of the current configuration; raises ``QueuesUnknown`` before the first."""
 
     async def run(self, request: JobRequest) -> JobOutcome:
-        """Run a job to its end."""
+        """Run a job and return its outcome."""
 
     def handle_disconnect(self, job_id: str) -> None:
-        """Note that the caller of a job has hung up."""
+        """Handle that the caller of a job has closed its connection."""
 
 
 class BaseIngress(abc.ABC):
-    """Serves callers, and whoever asks whether this entry is ready."""
+    """Serves callers and readiness checks."""
 
     def __init__(self, *, settings: Any, jobs: Jobs) -> None:
         self._settings = settings
@@ -116,59 +116,62 @@
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
 
     @abc.abstractmethod
     async def close(self) -> None:
-        """Close every connection."""
+        """Stop listening and close all connections."""
 
     @property
     @abc.abstractmethod
     def open_connections(self) -> int:
-        """How many connections of callers are open."""
+        """The number of open connections of callers."""
 
     @abc.abstractmethod
     def close_idle(self) -> int:
-        """Close the callers' connections that wait for a further request; return how many."""
+        """Close the connections of callers that have no request in progress; return how many."""
 
 
 class DeclarationObserver(Protocol):
-    """Hears what operators declare."""
+    """Receives the evacuations and configurations that operators declare."""
 
     def handle_evacuations(self, changes: EvacuationChanges) -> None:
-        """Take in what an answer of the store says of evacuations, also if nothing has changed."""
+        """Handle the evacuations in a response of the store, even if nothing has changed."""
 
     def handle_configuration(self, configuration: Configuration) -> None:
-        """Take in a configuration as it is accepted."""
+        """Handle a newly accepted configuration."""
 
 
 class BaseMemberStore(abc.ABC):
-    """The platform's store, for what operators declare and for the list of entries."""
+    """The platform's store, which holds operators' declarations and the list of entries."""
 
     @abc.abstractmethod
     async def announce(self, member: Member) -> None:
-        """Write this entry's row; tries until it is written."""
+        """Write this entry's row, and retry until it is written."""
 
     @abc.abstractmethod
     async def list_members(self) -> list[Member]:
-        """Return the entries that were announced; some may be gone."""
+        """Return the announced entries, some of which may have stopped."""
 
     @abc.abstractmethod
     async def watch_declarations(self, observer: DeclarationObserver) -> None:
-        """Report what operators declare as it is accepted; runs until cancelled.
+        """Report declarations to the observer as they are accepted; run until cancelled.
 
-        Of one answer of the store the evacuations are reported first: an entry serves callers from
-        its first configuration on, and has to know by then where nothing may start.
+        Of one response of the store the evacuations are reported first: an entry starts to serve
+        callers at its first configuration, and must not start tasks in evacuated data centres.
         """
 
     @abc.abstractmethod
     async def watch_members(self, callback: Callable[[Member], None]) -> None:
-        """Report each announced entry; runs until cancelled."""
+        """Call the callback with each announced entry; run until cancelled."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PollResult:
-    """What a worker lists. ``asked_at`` is when it was asked, on the agent's steady clock."""
+    """The runs that a worker lists.
+
+    ``asked_at`` is when the poll was sent, on the agent's monotonic clock.
+    """
 
     running: tuple[ListedRun, ...]
     ended: tuple[EndedRun, ...]
@@ -176,15 +179,15 @@
 
 
 class WorkerUnanswered(Exception):
-    """The worker gave no answer in time."""
+    """The worker did not respond in time."""
 
 
 class WorkerGone(Exception):
-    """Nothing listens at the worker's address."""
+    """The worker's address refuses connections."""
 
 
 class WorkerReplaced(Exception):
-    """Another life answers at the worker's address, so the one that was meant is over."""
+    """Another incarnation responds at the worker's address, so the expected one has ended."""
 
 
 class BaseWorkerDriver(abc.ABC):
@@ -193,51 +196,51 @@
     @property
     @abc.abstractmethod
     def leased_until(self) -> float:
-        """When everything on the worker has surely lapsed, by what was sent so far."""
+        """The latest time at which the leases that were sent so far can expire."""
 
     @abc.abstractmethod
-    def register(self, life: WorkerLife) -> None:
-        """Address all further calls to this life."""
+    def register(self, incarnation: WorkerLife) -> None:
+        """Address all further calls to this incarnation."""
 
     @abc.abstractmethod
     async def start(self, request: StartRequest, *, get_limit: Callable[[], float]) -> StartOutcome:
-        """Order a start, trying again while it stays unanswered.
+        """Order a start, and retry while there is no response.
 
-        ``get_limit`` tells before each try until when, by the agent's steady clock, the worker may
-        be told to run on; in the past it says that the start is not wanted any more.
+        ``get_limit`` is called before each attempt and returns the latest lease expiry, on the
+        agent's monotonic clock, that may be granted; a time in the past cancels the start.
         """
 
     @abc.abstractmethod
     async def stop(self, run_id: RunId) -> bool:
-        """Order a stop; return whether it was answered."""
+        """Order a stop; return whether the worker responded."""
 
     @abc.abstractmethod
     async def poll(self, plan: LookPlan, *, limit: float) -> PollResult:
-        """Ask what runs and what ended, and renew the lease if that is planned.
+        """Request the running and ended runs, and renew the lease if the plan says so.
 
-        ``limit`` is until when the worker may be told to run on, by the agent's steady clock.
-        Returns after the planned wait or once something ends. Raises :class:`WorkerUnanswered`,
+        ``limit`` is the latest lease expiry, on the agent's monotonic clock, that may be granted.
+        Return after the planned wait or once a run ends. Raise :class:`WorkerUnanswered`,
         :class:`WorkerGone` or :class:`WorkerReplaced`.
         """
 
 
 class WorkerObserver(Protocol):
-    """What a registration tells."""
+    """Receives the reports that a registration accepts from the worker."""
 
-    def register_incarnation(self, life: WorkerLife) -> None:
-        """A worker has reported."""
+    def register_incarnation(self, incarnation: WorkerLife) -> None:
+        """Handle a report of a worker incarnation."""
 
-    def lose_incarnation(self, life_id: str) -> None:
-        """A worker has said that it ends."""
+    def lose_incarnation(self, incarnation_id: str) -> None:
+        """Handle that a worker incarnation has deregistered."""
 
-    def restore_incarnation(self, life_id: str) -> None:
-        """What was reported of a worker's life was another writer's, also that it ends."""
+    def restore_incarnation(self, incarnation_id: str) -> None:
+        """Handle that earlier reports or a deregistration came from another writer."""
 
 
 class BaseRegistration(abc.ABC):
-    """Takes the worker's reports on the agent's host.
+    """Accepts the worker's reports on the agent's host.
 
-    ``metrics`` counts the reports that are not the worker's.
+    ``metrics`` counts reports from other writers.
     """
 
     def __init__(
@@ -249,7 +252,7 @@
 
     @abc.abstractmethod
     def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
 
     @abc.abstractmethod
     async def close(self) -> None:
--- a/dalemast/fleet/crashes.py
+++ b/dalemast/fleet/crashes.py
@@ -1,4 +1,4 @@
-"""Crashes of workers as rows of frames, and what an agent remembers of its worker's."""
+"""Messages about worker crashes, and an agent's history of them."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 from dalemast.core.workloads import TaskKey
 from dalemast.fleet.frames import CrashedRow, WorkerCrashed
 
-__all__ = ["CrashMemory", "make_worker_crashed", "make_presumed_crashed", "read_crashed_tasks"]
+__all__ = ["CrashMemory", "make_presumed_crashed", "make_worker_crashed", "read_crashed_tasks"]
 
 MAX_CRASHES = 32
-"""Crashes that an agent remembers: a worker that each of its lives loses after three seconds comes
-to this many in more than a minute, and no caller asks for a job that long."""
+"""Maximum number of crashes kept: enough to cover the time for which a caller resubmits a job, also
+when its task crashes one worker incarnation after the other."""
 
 
 class CrashMemory:
-    """The latest crashes of one worker, for entries that are met later.
+    """The latest crashes of one worker, for entries that connect later.
 
-    An entry that was out of reach, or began anew, may be asked for a job that has cost workers.
+    An entry that was unreachable or restarted may get a job again that has crashed workers.
     """
 
     def __init__(self) -> None:
@@ -27,28 +27,28 @@
 
     @property
     def crashes(self) -> tuple[WorkerCrashed, ...]:
-        """What entries are told when they are met."""
+        """The messages to send to an entry that connects."""
         return tuple(self._crashes)
 
     def add(self, crashed: WorkerCrashed) -> None:
-        """Remember a crash; the oldest one goes."""
+        """Add a crash; the oldest one is dropped if there are too many."""
         self._drop(crashed.worker)
         self._crashes.append(crashed)
 
-    def record_alive(self, life: str) -> None:
-        """Note that a life answers, so that it has not ended if it was silent before."""
-        if any(known.worker == life for known in self._crashes):
-            self._drop(life)
+    def record_alive(self, worker: str) -> None:
+        """Drop the crash of an incarnation that responds again, so it was only unresponsive."""
+        if any(known.worker == worker for known in self._crashes):
+            self._drop(worker)
 
-    def _drop(self, life: str) -> None:
-        kept = [known for known in self._crashes if known.worker != life]
+    def _drop(self, worker: str) -> None:
+        kept = [known for known in self._crashes if known.worker != worker]
         self._crashes = deque(kept, maxlen=MAX_CRASHES)
 
 
 def make_worker_crashed(
     worker: str, tasks: Iterable[CrashedTask], *, is_observed: bool = True
 ) -> WorkerCrashed:
-    """Return the message on a crash."""
+    """Return the message about a crash."""
     return WorkerCrashed(
         worker=worker,
         is_observed=is_observed,
@@ -66,13 +66,13 @@
 
 
 def make_presumed_crashed(over: RunPresumedOver) -> WorkerCrashed:
-    """Return the message on a run that nobody saw end: its worker may have, or its agent."""
+    """Return the message about a run whose end was not observed: its worker may have crashed."""
     task = CrashedTask(job_id=over.job_id, task=over.task, age_s=None)
     return make_worker_crashed(over.worker, [task], is_observed=False)
 
 
-def read_crashed_tasks(news: WorkerCrashed) -> list[CrashedTask]:
-    """Return the tasks that a message names."""
+def read_crashed_tasks(crashed: WorkerCrashed) -> list[CrashedTask]:
+    """Return the tasks listed in a message."""
     return [
         CrashedTask(
             job_id=row.job,
@@ -80,5 +80,5 @@
             age_s=None if row.age_s < 0 else row.age_s,
             has_begun=row.has_begun,
         )
-        for row in news.tasks
+        for row in crashed.tasks
     ]
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -50,7 +50,7 @@
     SentAt,
     Stop,
     WorkerCrashed,
-    WorkerLeaving,
+    WorkerDeparture,
     WorkerReport,
     WorkerSlowness,
 )
@@ -182,7 +182,7 @@
                 self._note_coming_room(session, message)
             case WorkerSlowness():
                 self._note_speed(session, message)
-            case WorkerLeaving():
+            case WorkerDeparture():
                 self._note_leaving(session, message)
             case RunDepartureRisk():
                 self._note_cut_short(session, message)
@@ -333,7 +333,7 @@
         rows = tuple(ComingRoom(in_s=row.in_s, cpu=row.cpu) for row in news.rows)
         self._scheduler.note_coming_room(session.worker, rows, now=clock.monotonic())
 
-    def _note_leaving(self, session: AgentSession, news: WorkerLeaving) -> None:
+    def _note_leaving(self, session: AgentSession, news: WorkerDeparture) -> None:
         if not session.worker:
             return
         in_s = None if news.in_s < 0 else news.in_s
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -261,7 +261,7 @@
             if self._routes.pop((agent, name), None) is not None:
                 self._end_route(agent, name, peer)
 
-        link = RelayedLink(message_type=PeerMessage, pass_on=pass_on, end_route=end)
+        link = RelayedLink(message_type=PeerMessage, forward=pass_on, end_route=end)
         session = self._receiver.open_relayed(link, is_dialled=is_dialled)
         route = Route(link=link, session=session, peer=peer)
         self._routes[agent, name] = route
--- a/dalemast/fleet/evacuations.py
+++ b/dalemast/fleet/evacuations.py
@@ -1,4 +1,4 @@
-"""The evacuations in force at one process of the fleet, as it hears of them and passes them on."""
+"""The evacuations in force at one process of the fleet."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 __all__ = ["EVACUATION_CHANGES", "EvacuationsInForce"]
 
 EVACUATION_CHANGES = "evacuations.changed"
-"""Counter of the times that the data centres to be spared changed here."""
+"""Counter of changes of the set of evacuated data centres."""
 
 Listener = Callable[[Evacuations], None]
 
 
 class EvacuationsInForce:
-    """Holds the newest report, whoever brought it, and tells listeners of changes."""
+    """Holds the newest report from any source and notifies listeners of changes."""
 
     def __init__(self, *, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -26,15 +26,15 @@
 
     @property
     def data_centres(self) -> frozenset[str]:
-        """The data centres that are evacuated."""
+        """The evacuated data centres."""
         return self._view.data_centres
 
     def on_change(self, listener: Listener) -> None:
-        """Call a function with each report that changes what is evacuated, in order of adding."""
+        """Call the listener, in order of registration, with each report that changes the set."""
         self._listeners.append(listener)
 
     def offer(self, offered: Evacuations, *, source: str) -> None:
-        """Take a report if it is newer than what is known."""
+        """Apply a report if it is newer than the current one."""
         before = self._view.current
         if not self._view.offer(offered):
             return
@@ -49,16 +49,16 @@
         for listener in self._listeners:
             listener(offered)
 
-    def handle_update(self, news: EvacuationUpdate, *, source: str) -> EvacuationUpdate | None:
-        """Take in another process's report; return what it should hear if that is out of date."""
-        offered = Evacuations(version=news.version, data_centres=frozenset(news.data_centres))
+    def handle_update(self, update: EvacuationUpdate, *, source: str) -> EvacuationUpdate | None:
+        """Apply an update of another process; return the update to send it if its is outdated."""
+        offered = Evacuations(version=update.version, data_centres=frozenset(update.data_centres))
         if self._view.contradicts(offered):
             return self.make_update()
         self.offer(offered, source=source)
         return None
 
     def make_update(self) -> EvacuationUpdate | None:
-        """Return what another process should hear, or None while nothing is known."""
+        """Return the current state as a message, or None while it is unknown."""
         current = self._view.current
         if current is None:
             return None
--- a/dalemast/fleet/frames.py
+++ b/dalemast/fleet/frames.py
@@ -1,8 +1,8 @@
 """Messages between entries and agents, and between entries.
 
-A frame is a list of messages: whatever is ready for a link goes out together, since a frame costs
-the same whatever it holds. Messages are JSON arrays that begin with a tag, which keeps the bytes
-between data centres few. Times are seconds; resources are as in
+A frame is a JSON list of messages: all messages that are ready for a link are sent together to
+save the cost of a frame each. Messages are encoded as arrays that start with a tag, to save
+bandwidth between data centres. Times are in seconds, resources in the units of
 :class:`dalemast.core.workloads.Resources`.
 """
 
@@ -18,35 +18,36 @@
 __all__ = [
     "AgentHello",
     "AgentMessage",
-    "LinkHeartbeat",
-    "Goodbye",
+    "CapacityReleaseRow",
+    "CapacityReleases",
+    "CapacityReport",
+    "CapacityRequestRow",
+    "CapacityRequestUpdate",
     "Claim",
     "ClaimResponse",
-    "ClockResponse",
     "ClockRequest",
-    "ConfigurationRequest",
+    "ClockResponse",
     "ConfigurationDeferred",
     "ConfigurationMessage",
+    "ConfigurationRequest",
     "ConfigurationUpdate",
-    "CapacityReleaseRow",
-    "WorkerCrashed",
     "CrashedRow",
     "DemandReport",
     "DemandRow",
-    "ReachableEntriesRequest",
-    "ReachableEntries",
     "EntryHello",
     "EntryMessage",
     "EvacuationUpdate",
-    "MemberUpdate",
+    "Goodbye",
+    "LinkHeartbeat",
     "MemberRow",
+    "MemberUpdate",
     "PeerHello",
     "PeerMessage",
+    "ReachableEntries",
+    "ReachableEntriesRequest",
     "Reconciled",
     "Relayed",
     "Release",
-    "CapacityReleases",
-    "CapacityReport",
     "RouteEnded",
     "RunDepartureRisk",
     "RunEnded",
@@ -57,9 +58,8 @@
     "Starts",
     "Stop",
     "VersionAnnouncement",
-    "CapacityRequestRow",
-    "CapacityRequestUpdate",
-    "WorkerLeaving",
+    "WorkerCrashed",
+    "WorkerDeparture",
     "WorkerReport",
     "WorkerSlowness",
     "Yield",
@@ -68,11 +68,11 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """Base of all messages."""
+    """Base class of all messages."""
 
 
 class MemberRow(Message, frozen=True):
-    """An entry, as in :class:`dalemast.fleet.base.Member`."""
+    """The fields of :class:`dalemast.fleet.base.Member`."""
 
     name: str
     incarnation: str
@@ -81,7 +81,7 @@
 
 
 class RunRow(Message, frozen=True):
-    """One run of a task."""
+    """Identifies one run of a task."""
 
     job: str
     step: int
@@ -90,33 +90,40 @@
 
 
 class LinkHeartbeat(Message, frozen=True, tag="b"):
-    """Nothing new; the sender is alive.
+    """Sent when there is nothing else to send, to show that the sender is alive.
 
-    Between entries ``is_receiving`` tells whether the sender still hears the other one on the link
-    that the other has dialled.
+    Between entries, ``is_receiving`` says whether the sender still receives messages from the
+    other entry on the link that the other entry dialled.
     """
 
     is_receiving: bool = True
 
 
 class SentAt(Message, frozen=True, tag="t"):
-    """When the rest of the frame was said, by the sender's steady clock, in milliseconds.
+    """A lower bound on when the rest of the frame was sent.
 
-    It may have been said later, never earlier. A frame may wait on its way, or at a receiver that
-    stands still, and what it says of a run counts from when it was said.
+    ``at_ms`` is in milliseconds of the sender's monotonic clock. The receiver measures owner
+    timeouts from this time and not from arrival: a frame that was delayed on the network or by a
+    paused receiver must not keep runs alive that the sender has given up since.
     """
 
     at_ms: int
 
 
 class ClockRequest(Message, frozen=True, tag="k"):
-    """Ask how the other end's clock goes; ``sent_at_ms`` is the sender's."""
+    """Requests a reading of the other end's monotonic clock.
+
+    ``sent_at_ms`` is the requester's clock at the time of sending.
+    """
 
     sent_at_ms: int
 
 
 class ClockResponse(Message, frozen=True, tag="K"):
-    """``received_at_ms`` is when the question arrived, by the clock of who answers."""
+    """Answers :class:`ClockRequest` and repeats its ``sent_at_ms``.
+
+    ``received_at_ms`` is the responder's clock at the time the request arrived.
+    """
 
     sent_at_ms: int
     received_at_ms: int
@@ -131,7 +138,7 @@
 class EvacuationUpdate(Message, frozen=True, tag="e"):
     """The evacuated data centres as of a version of the store; see ``Evacuations``.
 
-    Entries tell agents and one another, before anything that could make a task start.
+    Entries send it to agents and to each other before any message that could start a task.
     """
 
     version: int
@@ -139,7 +146,7 @@
 
 
 class MemberUpdate(Message, frozen=True, tag="m"):
-    """Entries that the sender has learned of."""
+    """Entries that the sender knows of."""
 
     members: tuple[MemberRow, ...]
 
@@ -147,7 +154,8 @@
 class StartRow(Message, frozen=True):
     """One task to start; ``number`` counts the entry's starts.
 
-    ``spare_s`` is as in :class:`dalemast.core.scheduling.StartTask`; negative if there is none.
+    ``restart_slack_s`` is that of :class:`dalemast.core.scheduling.StartTask`, or negative if it
+    is None there.
     """
 
     step: int
@@ -162,9 +170,9 @@
 
 
 class CapacityRequestRow(Message, frozen=True):
-    """What an owner lacks room for, as in :class:`dalemast.core.scheduling.Want`.
+    """Capacity that an owner requests, as in :class:`dalemast.core.scheduling.CapacityRequest`.
 
-    ``preempts_from`` is negative if no run may give way.
+    ``preempts_from`` is negative if no run may be preempted for it.
     """
 
     rank: tuple[float, ...]
@@ -173,19 +181,19 @@
 
 
 class CapacityRequestUpdate(Message, frozen=True, tag="w"):
-    """What an owner lacks room for, or that it lacks none."""
+    """The owner's current capacity request; None if it has no request."""
 
     request: CapacityRequestRow | None
 
 
 class Starts(Message, frozen=True, tag="s"):
-    """Tasks of one job to start, with the caller's text once."""
+    """Tasks of one job to start; the payload is shared by all of them."""
 
     job: str
     payload: str
     tasks: tuple[StartRow, ...]
     request: CapacityRequestRow | None = None
-    """What the owner still lacks room for."""
+    """The owner's remaining capacity request."""
     priority: int = 0
     """The job's priority; 0 is the most urgent."""
 
@@ -197,13 +205,14 @@
 
 
 class Goodbye(Message, frozen=True, tag="q"):
-    """The sender ends as planned and has nothing left open."""
+    """The sender is shutting down as planned and has no open work left."""
 
 
 class Reconciled(Message, frozen=True, tag="o"):
-    """The entry has compared the runs that the ``WorkerReport`` of this number lists with its jobs.
+    """The entry has reconciled its jobs with the runs in the ``WorkerReport`` of this number.
 
-    It has told by now which ones to stop, and its words keep the others alive from here on.
+    The entry has already ordered the stops of runs that it does not know. From here on its messages
+    keep its other runs alive.
     """
 
     number: int
@@ -218,10 +227,10 @@
 
 
 class WorkerReport(Message, frozen=True, tag="W"):
-    """The worker's life; an empty ``id`` says that there is none.
+    """The current worker incarnation; an empty ``id`` means that there is none.
 
-    ``runs`` are those of this owner that are there now; any other one is over. ``number`` counts
-    this news on a link.
+    ``runs`` lists the runs of this owner on the worker; runs that are not listed have ended.
+    ``number`` counts these reports on a link.
     """
 
     id: str
@@ -235,7 +244,10 @@
 
 
 class CapacityReport(Message, frozen=True, tag="R"):
-    """What is free, having seen this owner's start ``seen``; as in ``RoomReport``."""
+    """The free capacity of the worker, as in the scheduler's ``CapacityReport``.
+
+    ``seen`` is the number of the last start from this owner that is included.
+    """
 
     seen: int
     cpu: int
@@ -246,33 +258,33 @@
 
 
 class CapacityReleaseRow(Message, frozen=True):
-    """Room that comes free, as in :class:`dalemast.core.scheduling.ComingRoom`."""
+    """An expected capacity release, as in :class:`dalemast.core.scheduling.CapacityRelease`."""
 
     in_s: float
     cpu: int
 
 
 class CapacityReleases(Message, frozen=True, tag="C"):
-    """When room comes free on the worker, soonest first; it replaces what was told before."""
+    """Expected capacity releases of the worker, soonest first; replaces earlier ones."""
 
     rows: tuple[CapacityReleaseRow, ...]
 
 
 class WorkerSlowness(Message, frozen=True, tag="V"):
-    """How fast the worker is, as in :class:`dalemast.core.scheduling.WorkerSpeed`."""
+    """The run time factor of the worker, as in :class:`dalemast.core.scheduling.WorkerSpeed`."""
 
     slowness: float
     runs: int
 
 
-class WorkerLeaving(Message, frozen=True, tag="L"):
-    """The least time that the worker has left, in seconds; negative if it stays after all."""
+class WorkerDeparture(Message, frozen=True, tag="L"):
+    """Announces that the worker will stop in no less than ``in_s``; negative if it stays."""
 
     in_s: float
 
 
 class RunDepartureRisk(Message, frozen=True, tag="X"):
-    """A run that can't end in time, as in :class:`dalemast.core.scheduling.CutShort`."""
+    """A run that can't end before its worker stops, as in the scheduler's ``DepartureRisk``."""
 
     run: RunRow
     left_s: float
@@ -280,7 +292,10 @@
 
 
 class CrashedRow(Message, frozen=True):
-    """A task that ran on a worker as it crashed, as in ``CrashedTask``; -1 is an unknown age."""
+    """A task that was running when its worker crashed, as in ``CrashedTask``.
+
+    ``age_s`` is -1 if it is unknown.
+    """
 
     job: str
     step: int
@@ -290,20 +305,21 @@
 
 
 class WorkerCrashed(Message, frozen=True, tag="Z"):
-    """A life of a worker that has crashed, and all that ran there, whoever owned it.
+    """A worker incarnation that has crashed, and the tasks of all owners that ran on it.
 
-    An agent tells all entries, also those that it meets later: a task's next owner has to know. An
-    owner tells its peers of its own tasks, since not every agent has links with all of them.
+    An agent sends it to all entries, including those that connect later: the next owner of a task
+    has to know whether the task crashes workers. An owner forwards the rows of its own tasks to
+    its peers, since not every agent has links with all entries.
     """
 
     worker: str
     tasks: tuple[CrashedRow, ...]
     is_observed: bool = True
-    """False if the worker is only silent, and its lease over."""
+    """False if no crash was observed: the worker is unresponsive and its lease has expired."""
 
 
 class RunEnded(Message, frozen=True, tag="E"):
-    """How a run ended; ``run_s`` is how long it was seen to run."""
+    """How a run ended; ``run_s`` is its observed run time."""
 
     run: RunRow
     reason: EndReason
@@ -311,7 +327,7 @@
 
 
 class RunSlow(Message, frozen=True, tag="S"):
-    """A run crawls or stands still, as in :class:`dalemast.core.supervision.ReportSlow`."""
+    """A run is slow or stalled, as in :class:`dalemast.core.supervision.ReportSlow`."""
 
     run: RunRow
     age_s: float
@@ -321,40 +337,43 @@
 
 
 class PeerHello(Message, frozen=True, tag="P"):
-    """An entry's first message to another, with the claims whose home the other may be."""
+    """An entry's first message to another entry.
+
+    ``jobs`` lists the sender's claims whose home the other entry may be.
+    """
 
     member: MemberRow
     jobs: tuple[str, ...]
 
 
 class ConfigurationUpdate(Message, frozen=True, tag="c"):
-    """A configuration, for an entry that asked for it."""
+    """The configuration that the receiver has requested."""
 
     version: int
     queues: tuple[Queue, ...]
 
 
 class VersionAnnouncement(Message, frozen=True, tag="v"):
-    """The version of the configuration in force at the sender, and its size as a message."""
+    """The version of the sender's configuration, and its encoded size."""
 
     version: int
     size_bytes: int
 
 
 class ConfigurationRequest(Message, frozen=True, tag="a"):
-    """The sender lacks this version."""
+    """Requests the configuration of this version."""
 
     version: int
 
 
 class ConfigurationDeferred(Message, frozen=True, tag="l"):
-    """The sender has this version and is giving it to others first."""
+    """The sender has this version but is busy sending it to other entries."""
 
     version: int
 
 
 class DemandRow(Message, frozen=True):
-    """What waits at the sender, as in :class:`dalemast.core.scheduling.LoadWord`."""
+    """Work queued at the sender, as in :class:`dalemast.core.scheduling.QueuedDemand`."""
 
     service: str
     priority: int
@@ -363,20 +382,24 @@
 
 
 class DemandReport(Message, frozen=True, tag="d"):
-    """All that waits at the sender; it replaces what was told before, and no rows is nothing."""
+    """All work queued at the sender; replaces its earlier reports."""
 
     rows: tuple[DemandRow, ...]
 
 
 class Claim(Message, frozen=True, tag="?"):
-    """Ask for a job's id. ``number`` comes back in the answer."""
+    """Requests the claim on a job's id; the response repeats ``number``."""
 
     number: int
     job: str
 
 
 class ClaimResponse(Message, frozen=True, tag="!"):
-    """``is_granted``, or who has it and in how long it lapses (negative: unknown)."""
+    """Answers :class:`Claim`.
+
+    If the claim is not granted, ``holder`` is the entry that holds it and ``lapses_in_s`` the time
+    until it expires, negative if unknown.
+    """
 
     number: int
     is_granted: bool
@@ -385,22 +408,22 @@
 
 
 class Release(Message, frozen=True, tag="r"):
-    """Nothing of the job runs any more; its id is free."""
+    """Releases the claim on a job's id: no run of the job is left."""
 
     job: str
 
 
 class Yield(Message, frozen=True, tag="y"):
-    """Another entry was asked for the job: stop it and release its id."""
+    """Asks the holder of a claim to stop the job and release its id to another entry."""
 
     job: str
 
 
 class ReachableEntriesRequest(Message, frozen=True, tag="n"):
-    """Ask an agent which entries it has links with, now and at each change from then on.
+    """Requests the entries that an agent is linked with, now and after each change.
 
-    ``suspects`` are incarnations that the asker has lost: the agent finds out whether it still
-    hears them, and gives its links with them up if not.
+    ``suspects`` are incarnations that the requester can't reach. The agent probes them, and resets
+    its links with those that do not respond.
     """
 
     number: int
@@ -408,10 +431,10 @@
 
 
 class ReachableEntries(Message, frozen=True, tag="N"):
-    """The incarnations that an agent has links with. ``number`` is the last question's.
+    """The entry incarnations that an agent is linked with.
 
-    ``left_jobs`` are the jobs of which something still runs there for an owner that it has lost, or
-    does not know.
+    ``number`` is that of the last request. ``left_jobs`` are jobs with runs on the agent's worker
+    whose owner is unknown to the agent or no longer linked with it.
     """
 
     number: int
@@ -420,9 +443,9 @@
 
 
 class Relayed(Message, frozen=True, tag="f"):
-    """A frame between two entries, which an agent passes on; both are named by incarnation.
+    """A frame between two entries that an agent forwards; both are named by incarnation.
 
-    ``route`` names the link whose frame it is; the entry that begins a link chooses its name.
+    ``route`` identifies the relayed link; the entry that opens the link chooses it.
     """
 
     route: str
@@ -430,11 +453,11 @@
     receiver: str
     frame: str
     is_first: bool = False
-    """Whether the sender begins the link with this frame."""
+    """Whether this frame opens the relayed link."""
 
 
 class RouteEnded(Message, frozen=True, tag="F"):
-    """Nothing more goes by this route: an end has given it up, or the agent does not reach it."""
+    """A relayed link has ended: one end closed it, or the agent can't reach the other end."""
 
     route: str
     sender: str
@@ -457,7 +480,7 @@
     | LinkHeartbeat
     | Goodbye
 )
-"""What an agent hears."""
+"""Messages from an entry to an agent."""
 AgentMessage = (
     ClockRequest
     | AgentHello
@@ -465,7 +488,7 @@
     | CapacityReport
     | CapacityReleases
     | WorkerSlowness
-    | WorkerLeaving
+    | WorkerDeparture
     | RunDepartureRisk
     | WorkerCrashed
     | RunEnded
@@ -476,11 +499,11 @@
     | LinkHeartbeat
     | Goodbye
 )
-"""What an entry hears from an agent."""
+"""Messages from an agent to an entry."""
 ConfigurationMessage = (
     VersionAnnouncement | ConfigurationRequest | ConfigurationDeferred | ConfigurationUpdate
 )
-"""What entries tell one another of configurations."""
+"""Messages between entries that distribute configurations."""
 PeerMessage = (
     PeerHello
     | EvacuationUpdate
@@ -495,13 +518,13 @@
     | LinkHeartbeat
     | Goodbye
 )
-"""What an entry hears from another."""
+"""Messages between entries."""
 
 _decoders: dict[Any, msgspec.json.Decoder[Any]] = {}
 
 
 def decode_frame(data: str | bytes, message_type: Any) -> list[Any]:
-    """Decode a frame; raises :class:`msgspec.MsgspecError`."""
+    """Decode a frame; raise :class:`msgspec.MsgspecError` if it is invalid."""
     decoder = _decoders.get(message_type)
     if decoder is None:
         decoder = msgspec.json.Decoder(list[message_type])
--- a/dalemast/fleet/links/__init__.py
+++ b/dalemast/fleet/links/__init__.py
@@ -1,11 +1,10 @@
-"""Links: WebSockets that carry frames, with liveness of their own.
+"""Links: WebSocket connections that carry frames and detect unresponsive peers.
 
-A peer behind a cut says nothing, and bytes that a cut holds up arrive once it heals unless their
-sender resets the connection. So a silent link is reset, not closed.
+A link that has timed out is reset and not closed: after a close, bytes that were held up by a
+network failure would still be delivered once the network recovers.
 
-The WebSockets are picows's: sending a frame and taking in its answer costs 41 us of processor time
-in a loop over loopback, 237 us with Tornado's, and frames are most of what an entry does
-(docs/decisions/0010-worker-calls.md).
+The WebSocket implementation is picows, which needs much less processor time per frame than
+Tornado's; see docs/decisions/0010-worker-calls.md.
 """
 
 from dalemast.fleet.links.base import BaseLink, Link, LinkReceiver, encode_message
--- a/dalemast/fleet/links/base.py
+++ b/dalemast/fleet/links/base.py
@@ -1,4 +1,4 @@
-"""One open link, at either end."""
+"""Open links, at the dialling or the accepting end."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 ]
 
 PROBE_INTERVAL_S = 1
-"""Pause of the kernel's keep-alive probes. A host that lost power and is back answers the first one
-with a reset, so its peers dial again within about a second."""
+"""Interval of the kernel's TCP keep-alive probes, in seconds. A host that has rebooted answers the
+first one with a reset, so a short interval lets its peers reconnect soon."""
 MAX_PROBES = 2
-"""Unanswered probes after which the kernel gives a connection up."""
+"""Number of unanswered probes after which the kernel closes a connection."""
 ACKNOWLEDGEMENT_TIMEOUT_MS = 1500
-"""The kernel gives a connection up when bytes stay unacknowledged for this long. Its probes watch
-idle connections alone, and its own patience with bytes under way is minutes: the link would stay
-open for as long, and no new one would be dialled. A slowed host still acknowledges in tenths."""
+"""The kernel closes a connection when sent bytes stay unacknowledged for this long. Keep-alive
+probes cover only idle connections, and the kernel's default timeout is minutes, during
+which the link would stay open and no new one would be dialled."""
 MAX_FRAME_BYTES = 4 * 1024 * 1024
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
@@ -44,22 +44,22 @@
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Encode a message that goes to many links, which take it as :class:`msgspec.Raw`."""
+    """Encode a message once to send it on many links as :class:`msgspec.Raw`."""
     return encoder.encode(message)
 
 
 class LinkReceiver(Protocol):
-    """Takes what happens on one link."""
+    """Handles the frames and the end of one link."""
 
     def receive(self, messages: list[Any]) -> None:
-        """Take in a frame."""
+        """Handle the messages of a frame."""
 
     def close(self) -> None:
-        """Note that the link has ended."""
+        """Handle the end of the link."""
 
 
 class BaseLink(abc.ABC):
-    """One open link. Messages sent within one turn of the loop share a frame."""
+    """An open link. Messages sent in one iteration of the event loop share a frame."""
 
     def __init__(self, *, message_type: Any) -> None:
         self._message_type = message_type
@@ -76,11 +76,11 @@
         return self._is_open
 
     def begin_frames(self, make_head: Callable[[], msgspec.Struct]) -> None:
-        """Let each frame begin with a message, made as the first of its others is sent."""
+        """Start each frame with a message, made when the first other message is queued."""
         self._make_head = make_head
 
     def send(self, message: msgspec.Struct | msgspec.Raw) -> None:
-        """Send a message with the next frame; nothing happens on a closed link."""
+        """Send a message with the next frame; do nothing if the link is closed."""
         if not self._is_open:
             return
         if not self._outgoing and self._make_head is not None:
@@ -91,7 +91,7 @@
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Write the frame that is due."""
+        """Write the queued messages as one frame."""
         self._is_scheduled = False
         if not self._outgoing or not self._is_open:
             return
@@ -101,42 +101,42 @@
         self._write(data)
 
     def decode(self, data: str | bytes | memoryview) -> list[Any]:
-        """Decode what arrived and note that the peer is alive."""
+        """Decode a received frame and restart the link timeout."""
         self.received_at = clock.monotonic()
         return decode_frame(data, self._message_type)
 
     def reset_liveness(self, late_s: float) -> None:
-        """Count the peer's silence as shorter, by a time in which this process did not listen."""
+        """Extend the link timeout by a time in which this process did not read its sockets."""
         self.received_at = min(self.received_at + late_s, clock.monotonic())
 
     def reset(self) -> None:
-        """Close at once, so that nothing held up on the way is delivered later."""
+        """Abort the connection, so that data still in transit is not delivered later."""
         self._is_open = False
         self._outgoing = []
         self._abort()
 
     def mark_closed(self) -> None:
-        """Note that the connection has ended."""
+        """Mark the link as closed after its connection has ended."""
         self._is_open = False
 
     @abc.abstractmethod
     def _write(self, data: bytes) -> None:
-        """Send a frame on its way."""
+        """Write an encoded frame to the transport."""
 
     @abc.abstractmethod
     def _abort(self) -> None:
-        """End the connection without waiting for what is under way."""
+        """End the connection and discard data that is not sent yet."""
 
 
 class Link(BaseLink):
-    """A link over a connection of its own."""
+    """A link over its own WebSocket connection."""
 
     def __init__(self, *, transport: WSTransport, message_type: Any) -> None:
         super().__init__(message_type=message_type)
         self._transport = transport
 
     def end(self) -> None:
-        """Close once what was sent is on its way."""
+        """Close the connection after the queued messages are written."""
         self.flush()
         self._is_open = False
         self._transport.disconnect(graceful=True)
@@ -149,16 +149,16 @@
         if stream is None or stream.is_closing():
             return
         with contextlib.suppress(OSError):
-            # A socket that can't be set any more is closed already.
+            # setsockopt fails if the socket is already closed.
             sock = stream.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
         stream.abort()
 
 
 class LinkSocket(WSListener):  # type: ignore[misc]
-    """The WebSocket under a link, from its greeting to its end.
+    """The WebSocket of a link, from the handshake to its end.
 
-    ``make_receiver`` gets the link once it is open and returns who takes its messages.
+    ``make_receiver`` is called with the link once it is open and returns its receiver.
     """
 
     def __init__(self, *, message_type: Any, make_receiver: Callable[[Link], LinkReceiver]) -> None:
@@ -169,25 +169,25 @@
         self._link: Link | None = None
         self._is_given_up = False
         self.ended = asyncio.get_running_loop().create_future()
-        """Done once the link has ended."""
+        """Future that is done once the link has ended."""
 
     @property
     def link(self) -> Link | None:
-        """The link, once it is open."""
+        """The link, or None before it is open."""
         return self._link
 
     def give_up(self) -> None:
-        """End it, and let it never become a link if it opens only later.
+        """Reset the link, and abort the connection if it opens later.
 
-        A host that stood still answers all tries at once when it goes on. Each of them became a
-        link then, and what was sent on one was missing from the greeting on another.
+        A host that was paused accepts all pending connections when it resumes. If each became a
+        link, runs that were started on one would be missing in the run lists sent on another.
         """
         self._is_given_up = True
         if self._link is not None:
             self._link.reset()
 
     def on_ws_connected(self, transport: WSTransport) -> None:
-        """Begin; called by the WebSocket."""
+        """Open the link; called by picows."""
         if self._is_given_up:
             transport.underlying_transport.abort()
             return
@@ -196,7 +196,7 @@
         self._receiver = self._make_receiver(self._link)
 
     def on_ws_frame(self, transport: WSTransport, frame: WSFrame) -> None:
-        """Pass a frame on; one that does not parse, or a fault in who takes it, ends the link."""
+        """Pass a frame to the receiver; reset the link if it is invalid or the receiver fails."""
         link, receiver = self._link, self._receiver
         if link is None or receiver is None or not link.is_open:
             return
@@ -206,7 +206,7 @@
         if frame.msg_type in _KEEP_ALIVES:
             return
         if frame.msg_type != WSMsgType.TEXT or not frame.fin:
-            # Passed over, it would be a start or an end that the peer believes to be known here.
+            # If it were skipped, a start or an end could be lost that the peer takes as delivered.
             log_error("link:bad-frame", reason=f"{frame.msg_type.name}, whole: {frame.fin}")
             link.reset()
             return
@@ -220,7 +220,7 @@
             link.reset()
 
     def on_ws_disconnected(self, transport: WSTransport) -> None:
-        """Tell the receiver; called by the WebSocket."""
+        """Close the link and its receiver; called by picows."""
         if self._link is not None:
             self._link.mark_closed()
         if self._receiver is not None:
@@ -230,7 +230,7 @@
 
 
 def _watch(transport: WSTransport) -> None:
-    """Let the kernel notice that the other end is gone, which costs neither side's processor."""
+    """Make the kernel detect a lost peer, without any work for either process."""
     sock = transport.underlying_transport.get_extra_info("socket")
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
--- a/dalemast/fleet/links/dialer.py
+++ b/dalemast/fleet/links/dialer.py
@@ -18,29 +18,30 @@
 
 
 OPEN_TIMEOUT_S = 0.8
-"""Longest time from a try to an open link. A slowed host answers within tenths of a second."""
+"""Timeout of one attempt to open a link, in seconds."""
 FIRST_CONNECT_S = 0.1
-"""How long the first try waits for a connection; each further one waits twice as long, up to
-:data:`OPEN_TIMEOUT_S`. A host that is just starting says nothing at first, and the kernel sends the
-opening packet again only after a second: a new try reaches it sooner."""
+"""Connection timeout of the first attempt, in seconds; it is doubled at each further one, up to
+:data:`OPEN_TIMEOUT_S`. It is short since the kernel repeats a lost SYN packet only after a second,
+and a new attempt reaches a host that has just started sooner."""
 FIRST_RETRY_S = 0.05
 MAX_RETRY_S = 0.25
-"""Bounds on the pause between tries. A restarted process is back within about a second."""
+"""Minimum and maximum delay between attempts, in seconds."""
 SLOW_RETRY_S = 1.0
-"""Pause once an address has not answered for :data:`RESTART_S`."""
+"""Delay between attempts after :data:`SLOW_RETRY_AFTER_S` without a link."""
 SLOW_RETRY_AFTER_S = 5.0
-"""In this time a process that was killed or stopped is back, as a rule."""
+"""Until then the peer is expected to be back after a restart."""
 LOST_RETRY_S = 4.0
-"""Pause once an address has not answered for :data:`DOUBT_AFTER_S`: its host is likely gone."""
+"""Delay between attempts after :data:`LOST_AFTER_S` without a link."""
 LOST_AFTER_S = 20.0
+"""The host is presumed lost after this time without a link."""
 MAX_DOUBLINGS = 4
-"""Enough for both pauses to reach their bounds."""
+"""Maximum number of doublings; enough for both values to reach their maximum."""
 
 
 class Dialer:
-    """Keeps a link to one address open: connects, serves, and connects again.
+    """Keeps a link to one address open and reconnects whenever it ends.
 
-    ``make_receiver`` gets each new link and returns an object with ``receive`` and ``close``.
+    ``make_receiver`` is called with each new link and returns its receiver.
     """
 
     def __init__(
@@ -54,17 +55,17 @@
         self._message_type = message_type
         self._make_receiver = make_receiver
         self._link: Link | None = None
-        """The open link, from its opening on, which is before the task that dials hears of it."""
+        """The open link. It is set before ``_connect`` returns."""
         self._failing_since: float | None = clock.monotonic()
-        """Since when no link is open, or None while one is."""
+        """When the last link ended, or None while one is open."""
         self._task = asyncio.create_task(self._keep())
 
     def is_failing(self, now: float, *, longer_than_s: float) -> bool:
-        """Tell whether no link has been open for longer than this."""
+        """Return whether no link has been open for longer than this."""
         return self._failing_since is not None and now - self._failing_since > longer_than_s
 
     def stop(self) -> None:
-        """End the link and connect no more."""
+        """Close the link and stop reconnecting."""
         self._task.cancel()
         if self._link is not None:
             self._link.end()
@@ -83,7 +84,7 @@
             tries = min(tries + 1, MAX_DOUBLINGS)
 
     def _get_retry_s(self, tries: int) -> float:
-        """Return the pause after so many tries in a row that failed."""
+        """Return the delay after this number of consecutive failed attempts."""
         now = clock.monotonic()
         if self.is_failing(now, longer_than_s=LOST_AFTER_S):
             return LOST_RETRY_S
@@ -91,14 +92,14 @@
             return SLOW_RETRY_S
         return min(FIRST_RETRY_S * 2**tries, MAX_RETRY_S)
 
-    def _take_link(self, link: Link) -> LinkReceiver:
-        """Take in a link that has just opened."""
+    def _handle_link(self, link: Link) -> LinkReceiver:
+        """Store a new link and return its receiver."""
         self._link = link
         return self._make_receiver(link)
 
     async def _connect(self, connect_s: float) -> LinkSocket | None:
-        """Open a link; ``connect_s`` bounds the wait for its connection alone."""
-        opening = LinkSocket(message_type=self._message_type, make_receiver=self._take_link)
+        """Open a link; ``connect_s`` is the timeout of the TCP connection alone."""
+        opening = LinkSocket(message_type=self._message_type, make_receiver=self._handle_link)
 
         async def connect(url: WSParsedURL) -> socket.socket:
             return await _connect_socket(url.host, url.port, connect_s)
@@ -114,8 +115,8 @@
                     websocket_handshake_timeout=OPEN_TIMEOUT_S,
                 )
         except (OSError, WSError, TimeoutError):
-            # An address that does not answer is normal here: hosts go, restart and are cut off.
-            # What follows from it (a lost owner or peer) is logged where it is decided.
+            # Not logged: addresses are often unreachable while hosts restart or are disconnected.
+            # The loss of an owner or a peer is logged where it is detected.
             opening.give_up()
             self._link = None
             return None
@@ -123,21 +124,21 @@
             opening.give_up()
             raise
         except Exception as error:
-            # A fault in the library or in who takes the link must not end the dialling for good.
+            # An error in the library or in the receiver must not stop reconnecting permanently.
             log_error("link:fault", url=self._url, reason=repr(error))
             opening.give_up()
             self._link = None
             return None
         if opening.link is None:
-            # The connection ended before it was a link, which the library tells by nothing else:
-            # its end will never be reported, and waited for it would be the end of the dialling.
+            # The connection ended before the handshake completed. The library does not report the
+            # end of such a connection, so waiting for it would stop reconnecting permanently.
             opening.give_up()
             return None
         return opening
 
 
 async def _connect_socket(host: str, port: int, connect_s: float) -> socket.socket:
-    """Return a socket that is connected; raises ``OSError`` or ``TimeoutError``."""
+    """Return a connected socket; raise ``OSError`` or ``TimeoutError`` on failure."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     try:
--- a/dalemast/fleet/links/listener.py
+++ b/dalemast/fleet/links/listener.py
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LinkRoute:
-    """Links that are opened at a path: the messages that arrive on them, and who takes them."""
+    """The message type and the receivers of links that are opened at a URL path."""
 
     path: str
     message_type: Any
@@ -25,7 +25,7 @@
 
 
 class LinkListener:
-    """Accepts links on one address, an IP number and a port."""
+    """Accepts links on one address, an IP address and a port."""
 
     def __init__(self, *, address: str, routes: tuple[LinkRoute, ...]) -> None:
         self._address = address
@@ -35,21 +35,21 @@
 
     @property
     def address(self) -> str:
-        """The address in use, with the port that the system chose if 0 was asked for."""
+        """The address in use; port 0 is replaced by the port that the system chose."""
         if self._server is None:
             return self._address
         host, port = self._server.sockets[0].getsockname()[:2]
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         host, _, port = self._address.rpartition(":")
         self._server = await ws_create_server(
             self._accept, host, int(port), max_frame_size=MAX_FRAME_BYTES, backlog=BACKLOG
         )
 
     async def close(self) -> None:
-        """Stop listening and end all links that were accepted."""
+        """Stop listening and close all accepted links."""
         if self._server is not None:
             self._server.close()
         for accepted in list(self._open):
@@ -57,7 +57,7 @@
                 accepted.link.end()
 
     def _accept(self, request: WSUpgradeRequest) -> LinkSocket | None:
-        """Return who serves a new WebSocket; None refuses its path."""
+        """Return the handler of a new WebSocket, or None to refuse an unknown path."""
         route = self._routes.get(request.path.decode())
         if route is None:
             return None
--- a/dalemast/fleet/links/relayed.py
+++ b/dalemast/fleet/links/relayed.py
@@ -1,4 +1,4 @@
-"""A link between two entries whose frames an agent passes on, while no connection works."""
+"""A link between two entries that an agent forwards while they can't connect directly."""
 
 from __future__ import annotations
 
@@ -11,25 +11,25 @@
 
 
 class RelayedLink(BaseLink):
-    """A link without a connection of its own.
+    """A link without its own connection.
 
-    ``pass_on`` sends a frame to the agent, and ``end_route`` tells the other end, as far as the
-    agent reaches it, that nothing more comes.
+    ``forward`` sends a frame to the agent; ``end_route`` reports the end of the link to the other
+    end, if the agent can reach it.
     """
 
     def __init__(
         self,
         *,
         message_type: Any,
-        pass_on: Callable[[str], None],
+        forward: Callable[[str], None],
         end_route: Callable[[], None],
     ) -> None:
         super().__init__(message_type=message_type)
-        self._pass_on = pass_on
+        self._forward = forward
         self._end_route = end_route
 
     def _write(self, data: bytes) -> None:
-        self._pass_on(data.decode())
+        self._forward(data.decode())
 
     def _abort(self) -> None:
         self._end_route()
--- a/dalemast/fleet/operators.py
+++ b/dalemast/fleet/operators.py
@@ -1,4 +1,4 @@
-"""What a fleet process tells operators: figures as text, and a dump of its state as JSON."""
+"""The operators' HTTP endpoints of a fleet process: metrics as text and state as JSON."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 
 
 class MetricsHandler(BaseHandler):
-    """``GET /metrics``: one figure a line."""
+    """``GET /metrics``: one metric per line."""
 
     def initialize(self, metrics: Metrics) -> None:
-        """Take what the routes give."""
+        """Set the arguments of the route."""
         self._metrics = metrics
 
     def get(self) -> None:
-        """Answer."""
+        """Send all metrics."""
         self.set_header("Content-Type", "text/plain; charset=utf-8")
         self.finish(render_metrics(self._metrics))
 
 
 class StateHandler(BaseHandler):
-    """``GET /state``: the dump."""
+    """``GET /state``: the state of the process."""
 
     def initialize(self, get_state: Callable[[], object]) -> None:
-        """Take what the routes give."""
+        """Set the arguments of the route."""
         self._get_state = get_state
 
     def get(self) -> None:
-        """Answer."""
+        """Send the state."""
         self.send_json(self._get_state())
 
 
 class MetricsListener:
-    """Serves both on one address."""
+    """Serves ``/metrics`` and ``/state`` on one address."""
 
     def __init__(self, *, address: str, metrics: Metrics, get_state: Callable[[], object]) -> None:
         self._listener = Listener(
@@ -50,16 +50,16 @@
         )
 
     def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._listener.start()
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop listening."""
         await self._listener.close()
 
 
 def render_metrics(metrics: Metrics) -> str:
-    """Return counters, and the percentiles of each latency in milliseconds."""
+    """Return counters and latency percentiles, in milliseconds, as text."""
     dump = metrics.dump()
     lines = [
         f"uptime_seconds {dump.uptime_s}",
--- a/dalemast/fleet/paths.py
+++ b/dalemast/fleet/paths.py
@@ -1,4 +1,4 @@
-"""Paths of the links that an entry accepts."""
+"""URL paths at which an entry accepts links."""
 
 __all__ = ["AGENTS_PATH", "PEERS_PATH"]
 
--- a/dalemast/fleet/pauses.py
+++ b/dalemast/fleet/pauses.py
@@ -1,4 +1,4 @@
-"""Notices that this process stood still: frozen, or starved of its processor."""
+"""Detect pauses of this process, for example while it is suspended or gets no processor time."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PauseWatch:
-    """Compares the time between ticks with what they should be."""
+    """Detects a process pause by the time between two checks."""
 
     def __init__(self, *, limit_s: float) -> None:
         self._limit_s = limit_s
@@ -16,14 +16,14 @@
 
     @property
     def checked_at(self) -> float:
-        """When it was last checked whether the process stood still, by its steady clock."""
+        """The time of the last check, on the monotonic clock."""
         return self._ticked_at
 
     def check(self) -> float:
-        """Return how long the process stood still before this call, or 0 if not for long.
+        """Return the length of a process pause before this call, or 0 if there was none.
 
-        Called by the ticker and before each message is acted on, since a message that waited in
-        the socket while the process stood still may be seen before the next tick.
+        It is called at each tick and before a frame is handled: a frame that waited in the socket
+        during a pause may be read before the next tick.
         """
         now = clock.monotonic()
         gap_s = now - self._ticked_at
--- a/dalemast/fleet/process.py
+++ b/dalemast/fleet/process.py
@@ -1,4 +1,4 @@
-"""What the processes of entries and agents have in common."""
+"""The base class of the entry and agent processes."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 __all__ = ["PROCESS_PAUSES", "TICK_S", "BaseFleetProcess"]
 
 TICK_S = 0.05
-"""The grain of time-outs; the shortest, a beat, is 0.12 s."""
+"""Interval at which timeouts are checked while work is in progress, in seconds."""
 IDLE_TICK_S = 0.15
-"""The same while nothing is under way: what then runs out are pauses between beats, 0.2 s and more,
-and a standstill of 0.45 s must still be told from a pause between two ticks."""
+"""The same while idle. It must stay well below the limit of :class:`PauseWatch`, or a normal tick
+would count as a process pause."""
 LATE_TICK_S = 0.1
-"""From this delay of its own tick a process doubts its ear: what its peers sent meanwhile may wait
-in its sockets still. On a crowded host ticks are late by up to some tenths of a second."""
+"""Delay of a tick, in seconds, from which link timeouts are extended: messages of the peers may
+still be waiting in the sockets of this process."""
 
 
 END_MARGIN_S = 0.4
-"""How long before it would be killed a stopping process ceases to wait for what is under way. Then
-it answers what is left and closes its links, which takes some milliseconds on an idle host."""
+"""Part of the grace period, in seconds, that a stopping process reserves for answering the
+remaining requests and closing its links before it is killed."""
 PROCESS_PAUSES = "process.stood-still"
-"""Counter of the times that this process did not run for so long that it gave up what had begun."""
+"""Counter of process pauses that were long enough to abandon the work in progress."""
 
 
 class BaseFleetProcess(BaseProcess):
-    """A role of the fleet: its times, its metrics, the platform's store, and a ticking clock."""
+    """Base class of the fleet's roles, with their timeouts, metrics, store and timer."""
 
     _pauses: PauseWatch
-    """Made by the role once its parts are loaded, since loading them must not count as a pause."""
+    """Set by the role after its components are loaded: loading must not count as a pause."""
 
     def __init__(self, *, settings: FleetSettings, book: AddressBook) -> None:
         self._settings = settings
@@ -59,48 +59,48 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def close(self) -> None:
-        """End every task and socket."""
+        """Cancel all tasks and close all sockets."""
         for task in self._tasks:
             task.cancel()
         await self._close_parts()
         await self._metrics_listener.close()
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take new seeds; addresses and names can't change while the process lives."""
+        """Add new seeds. Other settings can't change while the process runs."""
         log_event("process:reloaded", seeds=settings.seeds)
         self._book.add_addresses(settings.seeds)
 
     @abc.abstractmethod
     def get_state(self) -> dict[str, object]:
-        """Return the dump."""
+        """Return the state for the operators' endpoint ``/state``."""
 
     @property
     @abc.abstractmethod
     def _is_busy(self) -> bool:
-        """Whether jobs or runs are under way, whose time-outs are short."""
+        """Whether jobs or runs with short timeouts are in progress."""
 
     @abc.abstractmethod
     def _tick(self) -> None:
-        """Let time-outs pass; called every :data:`TICK_S`, or :data:`IDLE_TICK_S` when idle."""
+        """Check timeouts; called every :data:`TICK_S`, or :data:`IDLE_TICK_S` when idle."""
 
     @abc.abstractmethod
     def _recover_from_pause(self) -> None:
-        """Give up what may be out of date after this process stood still."""
+        """Drop state that may be out of date after a process pause."""
 
     @abc.abstractmethod
     def _reset_liveness_timers(self, late_s: float) -> None:
-        """Take the time that this process was late itself off the silence of all links."""
+        """Extend the timeouts of all links by the delay of this process."""
 
     @abc.abstractmethod
     async def _close_parts(self) -> None:
-        """End the role's own links and listeners."""
+        """Close the links and listeners of the role."""
 
     def _get_drain_s(self) -> float:
-        """Return how long a planned stop may wait for what is under way, in seconds."""
+        """Return how long a planned stop may wait for work in progress, in seconds."""
         return max(self._settings.grace_s - END_MARGIN_S, 0.0)
 
     def _start_metrics(self) -> None:
-        """Listen to operators."""
+        """Start the operators' listener."""
         self._metrics_listener = MetricsListener(
             address=self._settings.metrics.address,
             metrics=self._metrics,
@@ -109,11 +109,11 @@
         self._metrics_listener.start()
 
     def _start_tasks(self, *coroutines: Coroutine[Any, Any, None]) -> None:
-        """Run these until the process closes."""
+        """Run the coroutines until the process closes."""
         self._tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
 
     def _check_pause(self) -> bool:
-        """Recover if this process stood still; return whether it did."""
+        """Recover if this process was paused; return whether it was."""
         paused_s = self._pauses.check()
         if not paused_s:
             return False
@@ -124,9 +124,9 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            pause_s = TICK_S if self._is_busy else IDLE_TICK_S
-            due_at = clock.monotonic() + pause_s
-            await asyncio.sleep(pause_s)
+            interval_s = TICK_S if self._is_busy else IDLE_TICK_S
+            due_at = clock.monotonic() + interval_s
+            await asyncio.sleep(interval_s)
             late_s = clock.monotonic() - due_at
             if late_s > LATE_TICK_S:
                 self._reset_liveness_timers(late_s)
--- a/dalemast/fleet/runner.py
+++ b/dalemast/fleet/runner.py
@@ -1,8 +1,7 @@
-"""Starts a fleet role from its settings file.
+"""Start a fleet role from its settings file.
 
-The platform starts these processes after every loss of power, and nothing is served until they are
-up. So this module imports only what the role needs; the command line, whose imports take longer
-than all the rest, comes in only when there are options to read.
+This module imports only what the role needs, and not the command line, to keep the start fast: no
+jobs are served until these processes are up again after a power loss.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 __all__ = ["ROLES", "run_agent", "run_entry"]
 
 SETTINGS_VARIABLE = "DALEMAST_BOOT"
-"""Names the settings file when the command line does not."""
+"""Environment variable with the path of the settings file, used without a command line option."""
 
 
 def run_entry(file: str = "") -> int:
@@ -49,7 +48,7 @@
 
 
 ROLES: dict[str, Callable[[], int]] = {"fleet-agent": run_agent, "fleet-entry": run_entry}
-"""Roles that start without options, by the name of their command."""
+"""Roles that start without options, by command name."""
 
 
 def _run(file: str, settings_type: type[FleetSettings], make: Callable[..., BaseProcess]) -> int:
--- a/dalemast/fleet/timing.py
+++ b/dalemast/fleet/timing.py
@@ -1,10 +1,10 @@
-"""The times on which "one run at a time" rests, and the chain between them.
+"""Timeouts that keep a task from running twice at the same time.
 
-A caller that lost its connection sends its job again after a while, to any entry. Whatever the
-first entry started must have ended by then, also when that entry or an agent is dead, frozen or cut
-off. The longest chain: the owner's last word, as of when it was said, the agent's patience with a
-silent owner, and the lease that the agent asked its worker for at the end of that patience. No link
-of it rests on a message that arrives: docs/decisions/0011-bounds.md has the table.
+A caller that lost its connection resubmits its job after a while, to any entry. All runs that the
+first entry started must have ended by then, even if that entry or an agent has crashed, is paused
+or is disconnected. The worst case is the sum of the agent's owner timeout, counted from when the
+owner's last message was sent, and the lease that the agent obtained at the end of that timeout.
+It does not depend on any message being delivered; see docs/decisions/0011-bounds.md.
 """
 
 from __future__ import annotations
@@ -12,64 +12,66 @@
 from dataclasses import dataclass
 
 __all__ = [
-    "STEADY_CLOCK_DRIFT",
+    "MONOTONIC_CLOCK_DRIFT",
     "WORKER_CLOCK_ERROR",
     "WORKER_CLOCK_STRETCH",
     "FleetTimes",
 ]
 
-STEADY_CLOCK_DRIFT = 0.001
-"""Share by which the steady clocks of two hosts may go differently: systems slew each by 0.0005 at
-the most to keep the time of day."""
+MONOTONIC_CLOCK_DRIFT = 0.001
+"""Maximum relative drift between the monotonic clocks of two hosts: each is slewed by at most half
+of this to follow the time of day."""
 WORKER_CLOCK_ERROR = 0.02
-"""A worker's clock may be slow by this share; from the platform."""
+"""Maximum relative error of a worker's clock, as the platform states it."""
 WORKER_CLOCK_STRETCH = 1.0 / (1.0 - WORKER_CLOCK_ERROR)
-"""How many times as long a lease lasts on the slowest clock."""
+"""Factor by which a lease may last longer on the slowest worker clock."""
 
 RESEND_SLACK_S = 0.05
-"""What is left between the end of the chain and the soonest new submission."""
+"""Margin between the end of the last run and the earliest resubmission."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetTimes:
-    """Times in seconds. ``stop_s`` is the platform's bound on a stop."""
+    """Timeouts and intervals in seconds.
+
+    ``stop_s`` is the platform's limit on how long a stop takes.
+    """
 
     owner_timeout_s: float = 0.45
-    """An agent stops the runs of an owner that is silent for this long: three beats and some."""
+    """An agent stops the runs of an owner that sent nothing for this long."""
     lease_s: float = 0.6
-    """A worker drops everything this long after the last word from its agent: two unanswered
-    looks in a row and a third try fit in."""
+    """A worker stops its runs this long after the last renewal by its agent. Long enough that two
+    unanswered polls in a row do not end the runs."""
     heartbeat_interval_s: float = 0.12
-    """Pause between messages on a link that carries runs."""
+    """Maximum interval between messages on a link whose entry has runs on the worker."""
     idle_heartbeat_interval_s: float = 5.0
-    """Pause between messages on a link that carries none. The kernel's probes watch it meanwhile
-    (dalemast/fleet/links): at 70 workers and 12 entries a beat a second on each idle link took
-    most of a core."""
+    """Maximum interval between messages on any other link. It is long to save processor time;
+    TCP keep-alive probes (dalemast/fleet/links) detect a lost peer in the meantime."""
     link_timeout_s: float = 0.45
-    """A link that carries runs is given up after this silence."""
+    """A link whose entry has runs on the worker is reset after this time without a message."""
     idle_link_timeout_s: float = 12.0
-    """A link that carries none is given up after this silence."""
+    """Any other link is reset after this time without a message."""
     stop_s: float = 0.05
     margin_s: float = 0.06
-    """For wake-ups and messages in flight."""
+    """Margin for timer delays and messages in flight."""
 
     @property
     def lost_run_s(self) -> float:
-        """Return how long after its owner's last word a run may still be going."""
+        """The longest time that a run may go on after its owner's last message."""
         lease_s = self.lease_s * WORKER_CLOCK_STRETCH
         return self.owner_timeout_s + lease_s + self.stop_s + self.margin_s
 
     @classmethod
     def fit(cls, *, resend_s: float, lease_max_s: float, stop_s: float) -> FleetTimes:
-        """Return times whose chain ends before a caller may submit again."""
-        usual = cls(stop_s=stop_s)
-        chain_s = usual.lost_run_s - usual.stop_s - usual.margin_s
-        budget_s = resend_s - stop_s - usual.margin_s - RESEND_SLACK_S
-        share = min(1.0, budget_s / chain_s)
+        """Return times such that lost runs end before a caller may resubmit."""
+        defaults = cls(stop_s=stop_s)
+        scaled_s = defaults.lost_run_s - defaults.stop_s - defaults.margin_s
+        budget_s = resend_s - stop_s - defaults.margin_s - RESEND_SLACK_S
+        share = min(1.0, budget_s / scaled_s)
         return cls(
-            owner_timeout_s=usual.owner_timeout_s * share,
-            lease_s=min(usual.lease_s * share, lease_max_s),
-            link_timeout_s=usual.link_timeout_s * share,
-            heartbeat_interval_s=usual.heartbeat_interval_s * share,
+            owner_timeout_s=defaults.owner_timeout_s * share,
+            lease_s=min(defaults.lease_s * share, lease_max_s),
+            link_timeout_s=defaults.link_timeout_s * share,
+            heartbeat_interval_s=defaults.heartbeat_interval_s * share,
             stop_s=stop_s,
         )
--- a/tests/fleet/base.py
+++ b/tests/fleet/base.py
@@ -1,4 +1,4 @@
-"""A whole fleet in one loop: emulated store and workers, real entries and agents."""
+"""A fleet in one event loop: emulated store and workers, real entries and agents."""
 
 from __future__ import annotations
 
@@ -32,13 +32,12 @@
 GIVEN_UP = 502
 HELD_PORTS = 400
 _held: deque[socket.socket] = deque(maxlen=HELD_PORTS)
-"""Sockets that hold the ports that were given out: bound, not listening, open to reuse. A listener
-may take such a port, and the system gives it to nobody else. Ports that were not held were taken by
-outgoing connections or given out twice: "address already in use", seen under load."""
+"""Bound sockets with SO_REUSEADDR that reserve the ports of :func:`find_address`. A listener can
+bind such a port, but the system does not use it for other sockets ("address already in use")."""
 
 
 def find_address() -> str:
-    """Return an address whose port the system gave out and keeps free for a listener."""
+    """Return an address with a free port that is reserved for a listener."""
     probe = socket.socket()
     probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     probe.bind(("127.0.0.1", 0))
@@ -49,7 +48,7 @@
 
 
 def make_configuration(version: int, **route: Any) -> dict[str, Any]:
-    """Return a configuration with one route, some of whose fields may be given."""
+    """Return a configuration with one route; arguments replace fields of the route."""
     row = {
         "name": "draws",
         "host": HOST,
@@ -64,12 +63,12 @@
 
 
 def make_body(*, text: str = "", count: int = 1, **step: Any) -> dict[str, Any]:
-    """Return the body of a job that nobody has to keep."""
+    """Return the body of a best-effort job with one step; arguments replace its fields."""
     return {"spec": text, "steps": [{**STEP, "count": count, **step}], "best_effort": True}
 
 
 class CallerConnection:
-    """One connection of a caller that it keeps from one job to the next."""
+    """A persistent connection of a caller."""
 
     def __init__(self, *, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -82,7 +81,7 @@
         self.writer.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
 
     async def read_status(self) -> int:
-        """Read one response in whole and return its status."""
+        """Read one response and return its status."""
         head = (await self.reader.readuntil(b"\r\n\r\n")).decode().lower()
         length = int(head.partition("content-length:")[2].split("\r\n")[0])
         await self.reader.readexactly(length)
@@ -92,11 +91,11 @@
 class LocalFleet:
     """Entries, agents with their workers, and a store, as a context manager.
 
-    ``links_per_agent`` is how many entries see each worker once the fleet is ready: all of them,
-    unless ``agent_settings`` bound an agent's links. ``make_proxy`` starts a proxy in front of an
-    address of links, workers or the store, and returns its own. ``data_centres`` go to workers in
-    turn. ``documents`` are what operators have written by key before anything starts, beside the
-    configuration.
+    ``links_per_agent`` is the number of entries that are linked with each agent once the fleet is
+    ready; it has to be given if ``agent_settings`` limit the links. ``make_proxy`` starts a proxy
+    for an address of links, workers or the store, and returns its address. ``data_centres`` are
+    assigned to workers in turn. ``documents`` are operators' documents, by key, that are in the
+    store besides the configuration before any process starts.
     """
 
     def __init__(
@@ -132,7 +131,7 @@
         self.store.put("op", "config", make_configuration(7))
         for key, document in self._documents.items():
             self.store.put("op", key, document)
-        self._store_address = await self._front(self.store.address)
+        self._store_address = await self._get_public_address(self.store.address)
         self.entry_settings = [await self._make_entry(n) for n in range(self._entry_count)]
         for settings in self.entry_settings:
             await self.add_entry(settings)
@@ -154,7 +153,7 @@
         await self.store.close()
 
     def is_ready(self) -> bool:
-        """Whether every entry sees every other, and workers by all the links that agents keep."""
+        """Whether every entry is linked with all other entries and with all expected agents."""
         states = [entry.get_state() for entry in self.entries]
         seen = [state["workers"] for state in states]
         return (
@@ -165,12 +164,14 @@
         )
 
     def _do_accept(self, workers: list[dict[str, Any]]) -> bool:
-        """Tell whether all workers are used but those of data centres evacuated from the start."""
-        spared = {key.removeprefix("evacuate/") for key in self._documents}
-        return all(worker["is_accepting"] or worker["data_centre"] in spared for worker in workers)
+        """Return whether all workers accept starts, except in evacuated data centres."""
+        evacuated = {key.removeprefix("evacuate/") for key in self._documents}
+        return all(
+            worker["is_accepting"] or worker["data_centre"] in evacuated for worker in workers
+        )
 
     def _are_linked(self, workers_seen: list[int]) -> bool:
-        """Tell whether entries see as many workers each, or in all if agents' links are bounded."""
+        """Return whether all links exist: of each entry, or in total if the links are limited."""
         if self._links_per_agent == self._entry_count:
             return all(seen == len(self.agents) for seen in workers_seen)
         return sum(workers_seen) == len(self.agents) * self._links_per_agent
@@ -183,7 +184,7 @@
         return entry
 
     async def restart_agent(self, number: int) -> None:
-        """End an agent, its worker's runs going on, and start a new life of it at once."""
+        """Restart an agent while its worker keeps running."""
         settings = self.agents[number]._settings
         await self.agents[number].close()
         self.agents[number] = FleetAgentProcess(settings=settings)
@@ -197,28 +198,28 @@
         text: str = "",
         count: int = 1,
         timeout_s: float = 15.0,
-        patience_ms: int | None = None,
+        deadline_ms: int | None = None,
         **step: Any,
     ) -> JsonResponse:
-        """Submit a job and wait for its answer; ``patience_ms`` is what the entry is told."""
+        """Submit a job and wait for its response; ``deadline_ms`` is sent in the header."""
         body = make_body(text=text, count=count, **step)
-        headers = {} if patience_ms is None else {DEADLINE_HEADER: str(patience_ms)}
+        headers = {} if deadline_ms is None else {DEADLINE_HEADER: str(deadline_ms)}
         path = PREFIX + job_id
         return await self.call("POST", path, entry, body, timeout_s=timeout_s, headers=headers)
 
-    async def submit_like_a_caller(self, job_id: str, **job: Any) -> JsonResponse:
-        """Submit a job, and again if it is given up since a process of this loop stood still.
+    async def submit_with_retries(self, job_id: str, **job: Any) -> JsonResponse:
+        """Submit a job, and resubmit it if it was dropped because of a process pause.
 
-        On a crowded host the loop may not run for half a second; what had begun is then given up
-        by design. Without such a standstill the first answer counts, whatever it is.
+        On a busy host the event loop may be paused long enough that entries drop jobs, as they are
+        designed to. Without such a pause the first response is returned, whatever it is.
         """
         while True:
-            before = self._count_standstills()
+            before = self._count_pauses()
             response = await self.submit(job_id, **job)
-            if response.status != GIVEN_UP or self._count_standstills() == before:
+            if response.status != GIVEN_UP or self._count_pauses() == before:
                 return response
 
-    def _count_standstills(self) -> int:
+    def _count_pauses(self) -> int:
         processes = [*self.entries, *self.agents]
         return sum(process._metrics.get_count(PROCESS_PAUSES) for process in processes)
 
@@ -231,7 +232,7 @@
         timeout_s: float = 15.0,
         headers: dict[str, str] | None = None,
     ) -> JsonResponse:
-        """Call an entry as a caller does."""
+        """Send a request to an entry as a caller does."""
         address = self.entry_settings[entry].callers.address
         return await self.client.request(
             method,
@@ -247,15 +248,17 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         return CallerConnection(reader=reader, writer=writer)
 
-    async def hang_up_once_running(self, job_id: str, **job: Any) -> None:
-        """Submit a job and break the connection off as soon as it runs."""
+    async def abort_once_running(self, job_id: str, **job: Any) -> None:
+        """Submit a job and abort the connection as soon as the job runs."""
         connection = await self.connect()
         connection.send(job_id, **job)
         await wait_until(lambda: bool(self.get_started(job_id)), "the job to start")
         connection.writer.transport.abort()
 
-    async def hang_up(self, job_id: str, *, entry: int = 0, after_s: float, **job: Any) -> None:
-        """Submit a job and break the connection off."""
+    async def abort_submission(
+        self, job_id: str, *, entry: int = 0, after_s: float, **job: Any
+    ) -> None:
+        """Submit a job and abort the connection after ``after_s``."""
         try:
             await self.submit(job_id, entry=entry, timeout_s=after_s, **job)
         except HttpFailure:
@@ -263,7 +266,7 @@
         raise AssertionError("the job was answered before the caller hung up")
 
     def get_running(self, job_id: str) -> list[str]:
-        """Return the tasks of a job that run now, one entry a run."""
+        """Return the running tasks of a job, once for each run."""
         return [
             task
             for worker in self.workers
@@ -272,13 +275,13 @@
         ]
 
     def get_started(self, job_id: str) -> list[tuple[str, int]]:
-        """Return every run of a job that was ever started."""
+        """Return all runs of a job that were ever started."""
         return [
             row for worker in self.workers for row in worker.started if row[0].startswith(job_id)
         ]
 
-    async def _front(self, address: str) -> str:
-        """Return where others reach an address: a proxy's if there are proxies."""
+    async def _get_public_address(self, address: str) -> str:
+        """Return the address of a new proxy for an address, or itself without proxies."""
         return await self._make_proxy(address) if self._make_proxy else address
 
     async def _make_entry(self, number: int) -> FleetEntrySettings:
@@ -289,7 +292,7 @@
             callers=ListenerSettings(address=find_address()),
             readiness=ListenerSettings(address=find_address()),
             links=ListenerSettings(address=links),
-            advertised=await self._front(links),
+            advertised=await self._get_public_address(links),
             metrics=ListenerSettings(address="127.0.0.1:0"),
             store=AddressSettings(address=self._store_address),
             **self._entry_settings,
@@ -298,7 +301,7 @@
     async def _make_agent(
         self, number: int, worker: EmulatedWorker, reports: str
     ) -> FleetAgentSettings:
-        worker.advertised = await self._front(worker.address)
+        worker.advertised = await self._get_public_address(worker.address)
         return FleetAgentSettings(
             name=f"agent-{number}",
             data_centre=self._get_data_centre(number),
@@ -311,7 +314,7 @@
         )
 
     def _get_data_centre(self, number: int) -> str:
-        """Return where a worker and its agent are."""
+        """Return the data centre of a worker and its agent."""
         return self._data_centres[number % len(self._data_centres)]
 
     async def _add_worker(self, number: int) -> None:
@@ -331,11 +334,11 @@
 
 
 def make_text(run_s: float, *, crash_s: float | None = None) -> str:
-    """Return the text of a task that runs this long on an emulated worker, or makes it crash."""
+    """Return the payload of a task that runs this long on an emulated worker or crashes it."""
     text = {"run_s": run_s} if crash_s is None else {"run_s": run_s, "crash_s": crash_s}
     return msgspec.json.encode(text).decode()
 
 
 async def settle() -> None:
-    """Let what is under way on loopback arrive."""
+    """Wait until messages in transit on the loopback interface have arrived."""
     await asyncio.sleep(0.2)
--- a/tests/fleet/test_address_book.py
+++ b/tests/fleet/test_address_book.py
@@ -1,4 +1,4 @@
-"""What counts as news of another entry."""
+"""Tests of the address book and of which members it reports as new."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 
 class AddressBookTests(testtools.TestCase):
-    def test_another_life_at_a_known_address_is_no_news(self) -> None:
-        """Two entries that heard of two lives told each other of them without end."""
+    def test_another_incarnation_at_a_known_address_is_not_new(self) -> None:
+        """Two entries that knew two incarnations forwarded them to each other forever."""
         book = AddressBook()
         self.assertEqual(1, len(book.add_members([make_member("old")])))
         self.assertEqual([], book.add_members([make_member("new")]))
         self.assertEqual([], book.add_members([make_member("old")]))
 
-    def test_a_seed_is_news_once_its_name_is_known(self) -> None:
+    def test_a_seed_is_new_once_its_name_is_known(self) -> None:
         book = AddressBook()
         book.add_addresses(["10.0.0.1:80"])
         self.assertEqual(1, len(book.add_members([make_member("a")])))
 
-    def test_each_address_is_told_once(self) -> None:
+    def test_listeners_get_each_address_once(self) -> None:
         book = AddressBook()
-        told: list[str] = []
-        book.on_address(told.append)
+        addresses: list[str] = []
+        book.on_address(addresses.append)
         book.add_addresses(["10.0.0.1:80"])
         book.add_members([make_member("a"), make_member("b")])
-        self.assertEqual(["10.0.0.1:80"], told)
+        self.assertEqual(["10.0.0.1:80"], addresses)
 
-    def test_the_own_address_is_passed_over(self) -> None:
+    def test_the_own_address_is_ignored(self) -> None:
         book = AddressBook(own_address="10.0.0.1:80")
         self.assertEqual([], book.add_members([make_member("a")]))
         self.assertEqual([], book.addresses)
 
-    def test_what_is_no_address_or_has_no_name_is_not_learned(self) -> None:
-        """A peer may have taken it from a row of the store that another writer has left."""
+    def test_invalid_members_are_rejected(self) -> None:
+        """A peer may have read them from rows that another program wrote to the store."""
         book = AddressBook()
         bad = [
             Member(name="", incarnation="a", address="10.0.0.1:80", data_centre="austin"),
--- a/tests/fleet/test_bounds.py
+++ b/tests/fleet/test_bounds.py
@@ -1,14 +1,6 @@
-"""Runs end by themselves when their owner is out of reach, whatever gets lost on the way.
+"""Runs end in time when their owner is unreachable, also if stops are lost or the agent is paused.
 
-A task ran twice at once, in two ways. In the first, an agent lost its owner and stopped the owner's
-runs; one of four stops got no answer ("stop:unanswered, no answer in time", 14.64 s). A stop was
-said again once the run's progress was older than 0.15 s, and a run of 9 s makes progress at nearly
-each look. So nothing stopped it until 15.451 s, while the agent's looks kept renewing the worker's
-lease; by then its owner had taken it as over and started the task elsewhere, at 15.416 s.
-
-In the second, an agent stood still while it ordered starts. Run 2 of both tasks began elsewhere at
-28.584 s, as their owner had lost the agent for long enough. The agent went on at 28.600 s, and its
-further tries at run 1, 41 ms apart, carried a lease from that moment on: the worker took them.
+Otherwise the owner restarts a task elsewhere while its earlier run still goes on.
 """
 
 from __future__ import annotations
@@ -34,13 +26,13 @@
 
 JOB = "00000000000000b{:x}"
 CUT_S = 2.0
-"""Longer than an owner waits for what it has lost, 1.62 s from its last word on."""
+"""Longer than the time after which an owner restarts lost tasks, in seconds."""
 WHOLE_CPU = 8000
-"""What a worker of the cluster has, so that a task of this size has it to itself."""
+"""The capacity of a worker of the cluster: a task of this size uses the whole worker."""
 
 
 class Overlaps:
-    """Notes each start of a task that runs elsewhere at that moment."""
+    """Records each start of a task that is running on another worker."""
 
     def __init__(self, workers: list[EmulatedWorker]) -> None:
         self._workers = workers
@@ -84,14 +76,13 @@
         self.assertEqual([], overlaps.found)
 
 
-class StrayTests(AsyncTestCase):
-    """A run that begins late, when nobody counts on it any more, is stopped; the others go on.
+class OrphanedRunTests(AsyncTestCase):
+    """An orphaned run must not make owners restart the other runs of its worker.
 
-    The agent took its worker back for as long as the late run went on, and told entries of it anew
-    without a word of the others. Their owners counted them as over and ran them elsewhere.
+    The next worker report must still list those, or their owners take them as ended.
     """
 
-    def test_what_runs_beside_a_late_run_is_not_run_again(self) -> None:
+    def test_runs_beside_an_orphaned_run_are_not_restarted(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=2) as fleet:
                 overlaps = Overlaps(fleet.workers)
@@ -113,7 +104,7 @@
 
 
 def begin_late(worker: EmulatedWorker, job_id: str) -> None:
-    """Let a worker begin a run that its agent does not know."""
+    """Start a run on a worker without its agent."""
     late = Order(
         task=f"{job_id}.0.0.0",
         run=1,
@@ -125,15 +116,15 @@
 
 
 class TwoLinksTests(AsyncTestCase):
-    def test_what_is_under_way_on_an_earlier_link_is_not_taken(self) -> None:
-        """What the agent tells of its runs on the new one says nothing of it."""
+    def test_a_new_link_of_an_entry_closes_the_earlier_one(self) -> None:
+        """Starts in transit there are missing in the run list that is sent on the new link."""
 
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
                 (earlier,) = owners._sessions.values()
                 link = mock.Mock(is_open=True, sent_at=0.0, received_at=clock.monotonic())
-                later = OwnerSession(link=link, links=owners)
+                later = OwnerSession(link=link, handler=owners)
                 assert earlier.member is not None
                 later.receive([EntryHello(member=to_row(earlier.member))])
                 self.assertFalse(earlier.link.is_open)
@@ -141,26 +132,26 @@
         self.run_async(scenario())
 
 
-class MuteWorker(EmulatedWorker):
-    """A worker that leaves starts unanswered, and undone, until it is told to take them."""
+class UnresponsiveWorker(EmulatedWorker):
+    """A worker that neither executes nor answers starts while ``is_unresponsive``."""
 
-    is_mute = True
+    is_unresponsive = True
     on_order: Callable[[EmulatedWorker], None]
 
     async def _start_run(self, call: dict[str, Any]) -> Any:
-        if self.is_mute:
+        if self.is_unresponsive:
             self.on_order(self)
             await asyncio.Event().wait()
         return await super()._start_run(call)
 
 
-class FrozenAgentTests(AsyncTestCase):
-    def test_an_agent_that_stood_still_does_not_go_on_with_its_orders(self) -> None:
-        self._play(self._freeze_in_an_order)
+class PausedAgentTests(AsyncTestCase):
+    def test_an_agent_does_not_retry_old_starts_after_a_pause(self) -> None:
+        self._play(self._pause_during_a_start)
 
     def _play(self, scenario: Callable[[Cluster], Awaitable[None]]) -> None:
         async def run(folder: Path) -> None:
-            with mock.patch("tests.soak.cluster.EmulatedWorker", MuteWorker):
+            with mock.patch("tests.soak.cluster.EmulatedWorker", UnresponsiveWorker):
                 cluster = Cluster(folder=folder, entries=1, workers=2)
                 await cluster.start()
                 try:
@@ -172,30 +163,30 @@
         with TemporaryDirectory() as folder:
             self.run_async(run(Path(folder)))
 
-    async def _freeze_in_an_order(self, cluster: Cluster) -> None:
+    async def _pause_during_a_start(self, cluster: Cluster) -> None:
         overlaps = Overlaps(cluster.workers)
-        frozen: list[EmulatedWorker] = []
+        paused: list[EmulatedWorker] = []
 
-        def freeze_agent(worker: EmulatedWorker) -> None:
-            if not frozen:
-                frozen.append(worker)
+        def pause_agent(worker: EmulatedWorker) -> None:
+            if not paused:
+                paused.append(worker)
                 cluster.agents[cluster.workers.index(worker)].signal(signal.SIGSTOP)
             for other in cluster.workers:
-                other.is_mute = False
+                other.is_unresponsive = False
 
         for worker in cluster.workers:
-            worker.on_order = freeze_agent
+            worker.on_order = pause_agent
         job = asyncio.create_task(submit(cluster, JOB.format(2), text=make_text(3.0)))
         await wait_until(lambda: any(w.started for w in cluster.workers), "the task to run")
-        self.assertEqual([], frozen[0].started)
-        cluster.agents[cluster.workers.index(frozen[0])].signal(signal.SIGCONT)
+        self.assertEqual([], paused[0].started)
+        cluster.agents[cluster.workers.index(paused[0])].signal(signal.SIGCONT)
         await settle()
         self.assertEqual(200, (await job).status)
         self.assertEqual([], overlaps.found)
 
 
 async def wait_until_served(cluster: Cluster) -> None:
-    """Wait until the entry sees that all workers take tasks."""
+    """Wait until the entry knows that all workers accept starts."""
     while True:
         state = await cluster.get_state(cluster.entries[0])
         workers = state["workers"].values() if state else ()
@@ -205,7 +196,7 @@
 
 
 async def submit(cluster: Cluster, job_id: str, *, text: str) -> Any:
-    """Submit a job of one task that takes a whole worker, and wait for its answer."""
+    """Submit a job of one task that uses a whole worker, and wait for its response."""
     return await cluster.client.request(
         "POST",
         f"http://{cluster.callers[0]}{PREFIX}{job_id}",
--- a/tests/fleet/test_cancelled.py
+++ b/tests/fleet/test_cancelled.py
@@ -28,7 +28,7 @@
         # A young entry grants no claim yet, and the first job must not wait for that.
         await self.check_room_is_free(fleet)
         fleet.workers[0].set_faults(late_orders=1.0, lost_stops=1.0)
-        await fleet.hang_up(JOB, after_s=0.2, text=LONG)
+        await fleet.abort_submission(JOB, after_s=0.2, text=LONG)
         await wait_until(lambda: bool(fleet.get_running(JOB)), "the late start")
 
     def test_a_task_that_began_late_is_stopped_once_stops_arrive(self) -> None:
@@ -67,7 +67,7 @@
     async def check_room_is_free(self, fleet: LocalFleet, entry: int = 0) -> None:
         """Check that a job which takes the whole worker runs."""
         self._checks += 1
-        response = await fleet.submit_like_a_caller(
+        response = await fleet.submit_with_retries(
             f"{self._checks:016x}", entry=entry, cpu=fleet._cpu, text=make_text(0.05)
         )
         self.assertEqual(200, response.status)
@@ -79,7 +79,7 @@
     def test_what_an_overdue_job_waits_for_is_logged(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(2.0), patience_ms=800))
+                job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(2.0), deadline_ms=800))
                 with mock.patch("dalemast.fleet.entry.desk.log_event") as log:
                     self.assertEqual(200, (await job).status)
                 overdue = [call for call in log.call_args_list if call.args == ("job:overdue",)]
--- a/tests/fleet/test_capacity.py
+++ b/tests/fleet/test_capacity.py
@@ -1,8 +1,6 @@
-"""A worker whose room shrinks and grows while it runs.
+"""A worker may change its capacity while it runs.
 
-What it said of its capacity was taken for something that never changes: the first reports with
-another one were refused as another writer's, and owners went on with the room that it had when it
-was met. Its agent turned their starts away then, and room that had grown stayed unused.
+Owners that keep the first capacity send starts that are refused, or leave added capacity unused.
 """
 
 from __future__ import annotations
@@ -18,7 +16,7 @@
 
 
 def get_free(fleet: LocalFleet) -> list[int]:
-    """Return the free room of each worker as the first entry sees it."""
+    """Return the free capacity of each worker that the first entry knows."""
     workers = fleet.entries[0].get_state()["workers"]
     return [view["free_cpu"] for view in workers.values()]  # type: ignore[union-attr]
 
@@ -28,7 +26,7 @@
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 fleet.workers[0].set_cpu(FULL)
-                await wait_until(lambda: get_free(fleet) == [FULL], "the room to be known")
+                await wait_until(lambda: get_free(fleet) == [FULL], "the capacity to be known")
                 await scenario(fleet)
 
         self.run_async(run())
@@ -38,20 +36,20 @@
         await wait_until(lambda: max(get_free(fleet)) <= cpu, "the owner to know of it")
 
     async def submit_many(self, fleet: LocalFleet, count: int) -> int:
-        """Submit jobs at a time; return how many tasks ran at the same time at the most."""
-        most = 0
+        """Submit jobs at the same time; return the maximum number of concurrent tasks."""
+        max_running = 0
 
-        def note(_: str) -> None:
-            nonlocal most
-            most = max(most, len(fleet.workers[0].active_tasks))
+        def record_running(_: str) -> None:
+            nonlocal max_running
+            max_running = max(max_running, len(fleet.workers[0].active_tasks))
 
-        fleet.workers[0].on_start = note
+        fleet.workers[0].on_start = record_running
         jobs = [fleet.submit(JOB.format(n), text=make_text(0.1)) for n in range(count)]
         answers = await asyncio.gather(*jobs)
         self.assertIn(200, [answer.status for answer in answers])
-        return most
+        return max_running
 
-    def test_no_more_is_started_than_the_room_that_is_left(self) -> None:
+    def test_starts_are_limited_to_the_reduced_capacity(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             self.assertEqual(4, await self.submit_many(fleet, 4))
             await self.shrink(fleet, SMALL)
@@ -59,7 +57,7 @@
 
         self.play(scenario)
 
-    def test_what_runs_goes_on_and_nothing_joins_it(self) -> None:
+    def test_runs_go_on_and_no_further_ones_start(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             job = asyncio.create_task(fleet.submit(JOB.format("a"), text=make_text(4.0), count=3))
             await wait_until(lambda: len(fleet.workers[0].active_tasks) == 3, "the runs")
@@ -71,7 +69,7 @@
 
         self.play(scenario)
 
-    def test_room_that_grows_is_used(self) -> None:
+    def test_added_capacity_is_used(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             await self.shrink(fleet, SMALL)
             fleet.workers[0].set_cpu(2 * FULL)
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -23,7 +23,7 @@
     async def submit(self, fleet: LocalFleet, entry: int) -> str:
         """Submit the job whose task crashes its worker; return how it ended."""
         text = make_text(1.0, crash_s=CRASH_S)
-        answer = await fleet.submit_like_a_caller(JOB, entry=entry, text=text)
+        answer = await fleet.submit_with_retries(JOB, entry=entry, text=text)
         self.assertEqual(200, answer.status)
         return str(answer.decode(dict[str, str])["state"])
 
@@ -31,7 +31,7 @@
         async def run() -> None:
             async with LocalFleet(entries=2, workers=5) as fleet:
                 sound = asyncio.create_task(
-                    fleet.submit_like_a_caller(SOUND_JOB, text=make_text(1.0), count=4)
+                    fleet.submit_with_retries(SOUND_JOB, text=make_text(1.0), count=4)
                 )
                 self.assertEqual("failed", await self.submit(fleet, entry=0))
                 starts = len(fleet.get_started(JOB))
--- a/tests/fleet/test_departures.py
+++ b/tests/fleet/test_departures.py
@@ -1,4 +1,4 @@
-"""A worker that leaves with 2 s of notice under runs that take longer, through real processes."""
+"""Workers that announce their departure while they have runs that take longer."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def get_leaving(fleet: LocalFleet) -> list[float]:
-    """Return the time left of each worker that the entry takes to be leaving."""
+    """Return the time left for each worker that the entry knows to be leaving."""
     workers = fleet.entries[0].get_state()["workers"]
     times = [view["leaves_in_s"] for view in workers.values()]  # type: ignore[union-attr]
     return [time_s for time_s in times if time_s is not None]
@@ -33,7 +33,7 @@
         self.run_async(run())
 
     async def begin(self, fleet: LocalFleet) -> asyncio.Task:
-        """Start a long run, and let its worker say that it leaves."""
+        """Start a long run, and let its worker announce its departure."""
         estimate_ms = RUN_S * 1000
         job = asyncio.create_task(
             fleet.submit(JOB.format(1), text=make_text(RUN_S), estimate_ms=estimate_ms)
@@ -47,7 +47,7 @@
     def get_busy(self, fleet: LocalFleet):
         return next(worker for worker in fleet.workers if worker.active_tasks)
 
-    def test_a_run_is_moved_off_it_and_ends_elsewhere(self) -> None:
+    def test_a_run_is_moved_to_another_worker(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             job = await self.begin(fleet)
             leaving = self.get_busy(fleet)
@@ -63,7 +63,7 @@
 
         self.play(scenario, plans_departures=True)
 
-    def test_a_notice_that_is_taken_back_is_forgotten(self) -> None:
+    def test_a_withdrawn_announcement_is_dropped(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             worker = fleet.workers[0]
             worker.state, worker.remaining_s = "draining", NOTICE_S
@@ -73,7 +73,7 @@
 
         self.play(scenario, plans_departures=True)
 
-    def test_without_the_switch_nothing_is_told_or_moved(self) -> None:
+    def test_without_the_setting_nothing_is_reported_or_moved(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             job = await self.begin(fleet)
             self.assertEqual(200, (await job).status)
--- a/tests/fleet/test_dialling.py
+++ b/tests/fleet/test_dialling.py
@@ -1,4 +1,4 @@
-"""Which entries an agent dials when it learns of many at once, as after a loss of all power."""
+"""Which entries an agent dials when it learns of many at once, as after a power loss."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.base import AsyncTestCase
 
 BOUNDS = LinkBounds(near=3, far=2)
-NEAR, FAR = "austin", "waco"
+OWN_DATA_CENTRE, OTHER_DATA_CENTRE = "austin", "waco"
 
 
 def make_member(number: int) -> Member:
@@ -20,13 +20,13 @@
         name=f"entry-{number}",
         incarnation=f"i{number}",
         address=f"127.0.0.1:{9000 + number}",
-        data_centre=NEAR if number % 5 == 0 else FAR,
+        data_centre=OWN_DATA_CENTRE if number % 5 == 0 else OTHER_DATA_CENTRE,
     )
 
 
 class OwnerDiallingTests(AsyncTestCase):
     def dial(self, members: list[Member], *, seeds: tuple[str, ...] = ()) -> list[str]:
-        """Let an agent learn of members in one message; return the addresses that it dials."""
+        """Add members in one call; return the addresses that the agent dials."""
 
         async def run() -> list[str]:
             book = AddressBook()
@@ -34,7 +34,7 @@
             with mock.patch("dalemast.fleet.agent.dialling.Dialer") as dialer:
                 dialling = OwnerDialling(
                     name="agent",
-                    data_centre=NEAR,
+                    data_centre=OWN_DATA_CENTRE,
                     book=book,
                     bounds=BOUNDS,
                     make_receiver=mock.Mock(),
@@ -46,13 +46,13 @@
 
         return self.run_async(run())
 
-    def test_all_are_dialled_while_they_are_few(self) -> None:
+    def test_few_entries_are_all_dialled(self) -> None:
         members = [make_member(number) for number in range(BOUNDS.total)]
         self.assertEqual(sorted(m.address for m in members), sorted(self.dial(members)))
 
-    def test_of_many_only_the_chosen_ones_and_the_seeds_are_dialled(self) -> None:
+    def test_of_many_entries_only_the_chosen_ones_and_the_seeds_are_dialled(self) -> None:
         members = [make_member(number) for number in range(35)]
-        known = [KnownEntry(name=m.name, is_near=m.data_centre == NEAR) for m in members]
+        known = [KnownEntry(name=m.name, is_near=m.data_centre == OWN_DATA_CENTRE) for m in members]
         chosen = choose_owners("agent", known, bounds=BOUNDS)
         expected = {m.address for m in members if m.name in chosen}
         seed = next(m.address for m in members if m.name not in chosen)
@@ -60,8 +60,8 @@
         self.assertEqual([seed, *sorted(expected)], [dialled[0], *sorted(dialled[1:])])
         self.assertEqual(BOUNDS.total + 1, len(dialled))
 
-    def test_the_choice_has_near_and_far_ones(self) -> None:
+    def test_the_choice_includes_the_same_and_other_data_centres(self) -> None:
         members = [make_member(number) for number in range(35)]
         dialled = set(self.dial(members))
-        near = sum(m.data_centre == NEAR for m in members if m.address in dialled)
-        self.assertEqual(BOUNDS.near, near)
+        local = sum(m.data_centre == OWN_DATA_CENTRE for m in members if m.address in dialled)
+        self.assertEqual(BOUNDS.near, local)
--- a/tests/fleet/test_evacuations.py
+++ b/tests/fleet/test_evacuations.py
@@ -48,7 +48,7 @@
 class EvacuationTests(AsyncTestCase):
     async def run_jobs(self, fleet: LocalFleet, name: str, *, entry: int = 0) -> None:
         for number in range(JOBS):
-            response = await fleet.submit_like_a_caller(f"{name}{number:015x}", entry=entry)
+            response = await fleet.submit_with_retries(f"{name}{number:015x}", entry=entry)
             self.assertEqual(200, response.status)
 
     def test_nothing_starts_there_until_it_is_taken_back(self) -> None:
@@ -70,7 +70,7 @@
             async with make_fleet() as fleet:
                 fleet.store.put("op", "evacuate/austin", {})
                 await wait_for_evacuated([*fleet.entries, *fleet.agents], "austin")
-                job = fleet.submit_like_a_caller("b" * 16, text=make_text(0.5))
+                job = fleet.submit_with_retries("b" * 16, text=make_text(0.5))
                 answer = asyncio.create_task(job)
                 await wait_until(lambda: bool(fleet.get_running("b" * 16)), "the job to run")
                 fleet.store.put("op", "evacuate/waco", {})
--- a/tests/fleet/test_foreign.py
+++ b/tests/fleet/test_foreign.py
@@ -1,4 +1,4 @@
-"""What another writer sends or leaves in the store does not reach the work of a fleet."""
+"""Reports and store rows from other writers must not disturb a fleet."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def send(fleet: LocalFleet, name: str, life_id: str, data: bytes) -> int:
-    """Send something to the address where the first agent's worker reports."""
+    """Send a request to the address where the first agent's worker reports."""
     address = fleet.agents[0]._settings.registration.address
     url = f"http://{address}/v1/Instances.{name}/{life_id}"
     return (await fleet.client.request("POST", url, body=data)).status
@@ -29,13 +29,13 @@
 
 
 def get_worker(fleet: LocalFleet) -> dict[str, Any]:
-    """Return what the first entry knows of the only worker."""
+    """Return the state of the only worker in the first entry."""
     (worker,) = fleet.entries[0].get_state()["workers"].values()  # type: ignore[attr-defined]
     return {name: worker[name] for name in ("is_accepting", "data_centre", "free_cpu")}
 
 
 class ForeignReportTests(AsyncTestCase):
-    def test_a_worker_and_its_run_go_on_beside_foreign_reports(self) -> None:
+    def test_a_worker_and_its_run_go_on_despite_foreign_reports(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 before = get_worker(fleet)
@@ -62,7 +62,7 @@
 
         self.run_async(run())
 
-    def test_the_worker_still_leaves_in_its_own_words(self) -> None:
+    def test_the_worker_can_still_leave_and_deregister(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 life_id = fleet.workers[0].life_id
@@ -75,14 +75,9 @@
 
 
 class ForeignEndTests(AsyncTestCase):
-    """Another writer ends a life of a worker that goes on.
-
-    An agent that had just begun heard the other writer first: a report under the worker's id that
-    it leaves, with a number far ahead, so that the worker's own ones were passed over. Then a
-    goodbye under that id was believed. Three of the worker's reports proved the first one foreign a
-    second later, but a life that had said goodbye never came back: the agent logged
-    `worker:deregistered`, 0.8 s later `worker:gone`, and after 33 ms, for good,
-    `worker:doubtful-report` with no life believed in. It had no worker for the remaining 32 s.
+    """Another writer deregisters a worker that goes on.
+
+    The agent must accept the worker again, or it has no worker until the next incarnation.
     """
 
     async def check_worker_is_back(self, fleet: LocalFleet, *, is_gone_first: bool) -> None:
@@ -92,24 +87,26 @@
             worker.start()
             fields = {"state": "draining", "seq": 10**9}
             self.assertEqual(200, await send_report(fleet, worker.life_id, **fields))
-            await wait_until(lambda: get_life_id(agent) == worker.life_id, "the life to be met")
+            await wait_until(
+                lambda: get_worker_id(agent) == worker.life_id, "the incarnation to be registered"
+            )
             self.assertEqual(200, await send(fleet, "Deregister", worker.life_id, b""))
             if is_gone_first:
                 worker.set_faults(looks=CallFates(lost=1.0))
-                await wait_until(lambda: get_life_id(agent) is None, "it to be given up")
+                await wait_until(lambda: get_worker_id(agent) is None, "it to be given up")
                 worker.set_faults(looks=CallFates())
-        await wait_until(lambda: get_life_id(agent) == worker.life_id, "the worker to be back")
+        await wait_until(lambda: get_worker_id(agent) == worker.life_id, "the worker to be back")
         await wait_until(lambda: has_room(fleet), "it to take tasks")
         self.assertEqual(200, (await fleet.submit(JOB)).status)
 
-    def test_a_worker_that_was_said_to_end_goes_on(self) -> None:
+    def test_a_worker_goes_on_after_a_foreign_deregistration(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 await self.check_worker_is_back(fleet, is_gone_first=False)
 
         self.run_async(run())
 
-    def test_a_worker_that_was_given_up_since_it_was_said_to_end_is_back(self) -> None:
+    def test_a_worker_given_up_after_a_foreign_deregistration_comes_back(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 await self.check_worker_is_back(fleet, is_gone_first=True)
@@ -117,28 +114,28 @@
         self.run_async(run())
 
     async def check_staying_worker_is_back(self, fleet: LocalFleet, *, is_gone_first: bool) -> None:
-        """Another writer's goodbye comes while the worker says that it leaves, but it stays."""
+        """Check a foreign deregistration of a leaving worker that stays after all."""
         worker, agent = fleet.workers[0], fleet.agents[0]
         worker.state = "draining"
         await wait_until(lambda: not get_worker(fleet)["is_accepting"], "its notice")
         self.assertEqual(200, await send(fleet, "Deregister", worker.life_id, b""))
         if is_gone_first:
             worker.set_faults(looks=CallFates(lost=1.0))
-            await wait_until(lambda: get_life_id(agent) is None, "it to be given up")
+            await wait_until(lambda: get_worker_id(agent) is None, "it to be given up")
             worker.set_faults(looks=CallFates())
         worker.state = "ready"
-        await wait_until(lambda: get_life_id(agent) == worker.life_id, "the worker to be back")
+        await wait_until(lambda: get_worker_id(agent) == worker.life_id, "the worker to be back")
         await wait_until(lambda: has_room(fleet), "it to take tasks")
         self.assertEqual(200, (await fleet.submit(JOB)).status)
 
-    def test_a_worker_that_takes_its_notice_back_goes_on_though_it_was_said_to_end(self) -> None:
+    def test_a_worker_that_stays_goes_on_after_a_foreign_deregistration(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 await self.check_staying_worker_is_back(fleet, is_gone_first=False)
 
         self.run_async(run())
 
-    def test_one_that_was_given_up_since_it_was_said_to_end_is_back_once_it_stays(self) -> None:
+    def test_a_given_up_worker_that_stays_comes_back_after_a_foreign_deregistration(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 await self.check_staying_worker_is_back(fleet, is_gone_first=True)
@@ -146,20 +143,20 @@
         self.run_async(run())
 
 
-def get_life_id(agent: Any) -> str | None:
-    """Return the life of its worker that an agent believes in."""
-    life = agent._supervisor.life
-    return None if life is None else life.id
+def get_worker_id(agent: Any) -> str | None:
+    """Return the id of the worker incarnation that an agent has accepted."""
+    incarnation = agent._supervisor.life
+    return None if incarnation is None else incarnation.id
 
 
 def has_room(fleet: LocalFleet) -> bool:
-    """Tell whether the first entry knows a worker that takes tasks."""
+    """Return whether the first entry knows a worker that accepts starts."""
     workers = fleet.entries[0].get_state()["workers"].values()  # type: ignore[attr-defined]
     return any(worker["is_accepting"] for worker in workers)
 
 
 class ForeignRowTests(AsyncTestCase):
-    def test_a_fleet_goes_on_beside_foreign_rows(self) -> None:
+    def test_a_fleet_goes_on_despite_foreign_rows(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=2, workers=1) as fleet:
                 store, entry = fleet.store, fleet.entries[0]
--- a/tests/fleet/test_imports.py
+++ b/tests/fleet/test_imports.py
@@ -1,4 +1,4 @@
-"""What the fleet's roles import before they serve: callers wait for it after a loss of power."""
+"""The fleet's roles import few packages, so that they serve callers soon after a power loss."""
 
 from __future__ import annotations
 
@@ -8,8 +8,7 @@
 import testtools
 
 LATE = {"cappa", "eliot", "matplotlib", "pycurl", "pyrsistent", "rich", "yaml"}
-"""Packages that no role of the fleet needs before it serves; each takes a twelfth of the imports or
-more."""
+"""Packages that are slow to import and that no role needs at its start."""
 BACKENDS = {
     "agent": "dalemast.platform.worker, dalemast.platform.store, dalemast.platform.registration",
     "entry": "dalemast.platform.ingress, dalemast.platform.store",
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -1,4 +1,4 @@
-"""One link at a time: what ends it, and what it never passes over in silence."""
+"""Tests of single links: delivery, reconnecting and invalid input."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Receiver:
-    """Notes what arrives on a link, and its end."""
+    """Records the messages of a link, and its end."""
 
     def __init__(self, link: Link) -> None:
         self.link = link
@@ -29,14 +29,14 @@
         if any(
             isinstance(message, LinkHeartbeat) and not message.is_receiving for message in messages
         ):
-            raise RuntimeError("a fault of the receiver's")
+            raise RuntimeError("a failure of the receiver")
 
     def close(self) -> None:
         self.is_closed = True
 
 
 async def pipe(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """Pass bytes on until the reader ends."""
+    """Forward bytes until the reader ends."""
     with contextlib.suppress(ConnectionError):
         while data := await reader.read(4096):
             writer.write(data)
@@ -44,14 +44,14 @@
 
 
 class RawPeer(WSListener):  # type: ignore[misc]
-    """A peer that sends what no link of ours would."""
+    """A peer that can send invalid frames."""
 
     def __init__(self) -> None:
         super().__init__()
         self.is_over = asyncio.Event()
 
     def on_ws_frame(self, transport: WSTransport, frame: WSFrame) -> None:
-        """Pass over what arrives."""
+        """Ignore received frames."""
 
     def on_ws_disconnected(self, transport: WSTransport) -> None:
         self.is_over.set()
@@ -59,7 +59,7 @@
 
 class LinkTests(AsyncTestCase):
     def serve(self, scenario: Any) -> None:
-        """Run a scenario with an accepting end; it gets its address and its receivers."""
+        """Run a scenario with the address of a listener and the receivers of its links."""
 
         async def run() -> None:
             accepted: list[Receiver] = []
@@ -80,23 +80,23 @@
         self.run_async(run())
 
     async def check_ends(self, address: str, accepted: list[Receiver], send: Any) -> None:
-        """Check that what a raw peer sends ends its link, and that nothing of it is taken in."""
+        """Check that a frame of a raw peer ends the link and is not delivered."""
         transport, peer = await ws_connect(RawPeer, f"ws://{address}{PATH}")
         send(transport)
         await asyncio.wait_for(peer.is_over.wait(), 10.0)
         await wait_until(lambda: accepted[-1].is_closed, "the link to end")
         self.assertEqual([], accepted[-1].messages)
 
-    def test_messages_of_one_turn_share_a_frame_and_arrive_in_order(self) -> None:
+    def test_messages_arrive_and_a_reset_link_is_dialled_again(self) -> None:
         async def scenario(address: str, accepted: list[Receiver]) -> None:
             dialled: list[Receiver] = []
 
-            def take(link: Link) -> Receiver:
+            def make_receiver(link: Link) -> Receiver:
                 dialled.append(Receiver(link))
                 return dialled[-1]
 
             dialer = Dialer(
-                url=f"ws://{address}{PATH}", message_type=PeerMessage, make_receiver=take
+                url=f"ws://{address}{PATH}", message_type=PeerMessage, make_receiver=make_receiver
             )
             await wait_until(lambda: bool(dialled and accepted), "the link")
             for _ in range(3):
@@ -111,15 +111,15 @@
         self.serve(scenario)
 
     def test_a_dialer_that_stops_as_its_link_opens_leaves_none_open(self) -> None:
-        """It was open before the task that dials had heard of it, and stayed open for good."""
+        """The link opens before ``_connect`` returns, and was left open permanently."""
 
         async def scenario(address: str, accepted: list[Receiver]) -> None:
-            def take(link: Link) -> Receiver:
+            def make_receiver(link: Link) -> Receiver:
                 dialer.stop()
                 return Receiver(link)
 
             dialer = Dialer(
-                url=f"ws://{address}{PATH}", message_type=PeerMessage, make_receiver=take
+                url=f"ws://{address}{PATH}", message_type=PeerMessage, make_receiver=make_receiver
             )
             await wait_until(lambda: bool(accepted), "the link")
             await wait_until(lambda: accepted[0].is_closed, "its end")
@@ -128,46 +128,45 @@
 
         self.serve(scenario)
 
-    def test_a_host_that_stood_still_gets_one_link_however_often_it_was_dialled(self) -> None:
-        """An entry froze for 4 s; on its return an agent had four links with it, and a task that
-        was started on one ran twice, since the greeting on another did not list it."""
+    def test_a_paused_host_gets_one_link_after_several_attempts(self) -> None:
+        """With several links a task that was started on one ran twice, since the run list on
+        another one did not include it."""
 
         async def scenario(address: str, accepted: list[Receiver]) -> None:
-            thawed = asyncio.Event()
+            resumed = asyncio.Event()
             host, _, port = address.rpartition(":")
             tries: list[asyncio.Task[None]] = []
 
             async def hold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 tries.append(asyncio.current_task())  # type: ignore[arg-type]
-                await thawed.wait()
+                await resumed.wait()
                 to_reader, to_writer = await asyncio.open_connection(host, int(port))
                 await asyncio.gather(pipe(reader, to_writer), pipe(to_reader, writer))
 
-            frozen = await asyncio.start_server(hold, host, 0)
-            url = f"ws://{host}:{frozen.sockets[0].getsockname()[1]}{PATH}"
+            paused_server = await asyncio.start_server(hold, host, 0)
+            url = f"ws://{host}:{paused_server.sockets[0].getsockname()[1]}{PATH}"
             dialled: list[Receiver] = []
 
-            def take(link: Link) -> Receiver:
+            def make_receiver(link: Link) -> Receiver:
                 dialled.append(Receiver(link))
                 return dialled[-1]
 
-            dialer = Dialer(url=url, message_type=PeerMessage, make_receiver=take)
+            dialer = Dialer(url=url, message_type=PeerMessage, make_receiver=make_receiver)
             await wait_until(lambda: len(tries) == 3, "three tries")
-            thawed.set()
+            resumed.set()
             await wait_until(lambda: bool(dialled), "a link")
             await asyncio.sleep(0.3)
             self.assertEqual(1, len(dialled))
             dialer.stop()
-            frozen.close()
+            paused_server.close()
 
         self.serve(scenario)
 
-    def test_a_host_that_ends_connections_before_they_are_links_is_dialled_again(self) -> None:
-        """Soak, seed 1 beside load: an agent whose first try met a host that was just starting
-        never dialled it again."""
+    def test_a_host_that_closes_connections_during_the_handshake_is_dialled_again(self) -> None:
+        """An agent whose first attempt reached a host that was starting never dialled it again."""
 
         async def read_nothing(reader: asyncio.StreamReader) -> None:
-            """End before the upgrade was read."""
+            """Close before the upgrade request is read."""
 
         async def read_some(reader: asyncio.StreamReader) -> None:
             await reader.read(10)
@@ -198,7 +197,7 @@
 
         self.run_async(run())
 
-    def test_what_does_not_parse_ends_the_link(self) -> None:
+    def test_an_invalid_frame_ends_the_link(self) -> None:
         async def scenario(address: str, accepted: list[Receiver]) -> None:
             await self.check_ends(
                 address, accepted, lambda peer: peer.send(WSMsgType.TEXT, b'[["?"')
@@ -206,7 +205,7 @@
 
         self.serve(scenario)
 
-    def test_a_frame_that_is_no_whole_text_ends_the_link(self) -> None:
+    def test_a_binary_or_partial_frame_ends_the_link(self) -> None:
         async def scenario(address: str, accepted: list[Receiver]) -> None:
             for kind, fin in ((WSMsgType.BINARY, True), (WSMsgType.TEXT, False)):
                 await self.check_ends(
@@ -217,7 +216,7 @@
 
         self.serve(scenario)
 
-    def test_a_fault_in_the_receiver_ends_the_link(self) -> None:
+    def test_an_error_in_the_receiver_ends_the_link(self) -> None:
         async def scenario(address: str, accepted: list[Receiver]) -> None:
             transport, peer = await ws_connect(RawPeer, f"ws://{address}{PATH}")
             transport.send(WSMsgType.TEXT, b'[["b",false]]')
@@ -226,16 +225,16 @@
 
         self.serve(scenario)
 
-    def test_a_path_that_nobody_serves_is_refused(self) -> None:
+    def test_an_unknown_path_is_refused(self) -> None:
         async def scenario(address: str, accepted: list[Receiver]) -> None:
             refused = asyncio.get_running_loop().create_future()
 
-            def take(link: Link) -> Receiver:
+            def make_receiver(link: Link) -> Receiver:
                 refused.set_result(False)
                 return Receiver(link)
 
             dialer = Dialer(
-                url=f"ws://{address}/other", message_type=PeerMessage, make_receiver=take
+                url=f"ws://{address}/other", message_type=PeerMessage, make_receiver=make_receiver
             )
             await asyncio.sleep(0.3)
             dialer.stop()
--- a/tests/fleet/test_lives.py
+++ b/tests/fleet/test_lives.py
@@ -1,4 +1,4 @@
-"""Reports of a worker's earlier lives, held up on their way, that arrive while a later one runs."""
+"""Delayed reports of earlier worker incarnations that arrive while a later one runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 async def deliver_report(fleet: LocalFleet, life_id: str) -> None:
-    """Deliver a report of a life that is no more to the first agent."""
+    """Send a report of an ended incarnation to the first agent."""
     settings = fleet.agents[0]._settings
     body = msgspec.structs.replace(fleet.workers[0].make_report(), seq=3)
     url = f"http://{settings.registration.address}/v1/Instances.Heartbeat/{life_id}"
@@ -22,7 +22,7 @@
 
 
 class LateReportTests(AsyncTestCase):
-    def test_a_run_goes_on_though_an_earlier_life_seems_to_report(self) -> None:
+    def test_a_run_goes_on_after_a_report_of_an_earlier_incarnation(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 job = asyncio.create_task(fleet.submit(JOB, text=make_text(1.0)))
@@ -33,7 +33,7 @@
 
         self.run_async(run())
 
-    def test_a_later_life_is_taken_in_while_nothing_runs(self) -> None:
+    def test_a_later_incarnation_is_registered_while_nothing_runs(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 worker = fleet.workers[0]
@@ -42,7 +42,7 @@
                 life_id = worker.life_id
                 await wait_until(
                     lambda: life_id in fleet.entries[0].get_state()["workers"],  # type: ignore[operator]
-                    "the later life to be in reach",
+                    "the later incarnation to be reachable",
                 )
                 await deliver_report(fleet, "i-earlier")
                 answer = await fleet.submit(JOB, text=make_text(0.1))
