--- a/tests/fleet/test_looks.py
+++ b/tests/fleet/test_looks.py
@@ -1,4 +1,4 @@
-"""How often an agent looks at a worker that does not answer."""
+"""How often an agent polls a worker that does not respond."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from dalemast.observability import Metrics
 from tests.base import AsyncTestCase
 
-LOOKS = 8
+POLLS = 8
 
 
 class ResettingWorker:
-    """A driver whose worker resets each connection at once, but for those looks that it serves."""
+    """A driver whose worker resets all connections except those of the polls it serves."""
 
     leased_until = float("inf")
 
     def __init__(self, *, served: set[int]) -> None:
-        self.looks = 0
-        self.asked: list[tuple[float, bool]] = []
-        """Of each look, how long it may wait and whether it renews the lease."""
+        self.polls = 0
+        self.requests: list[tuple[float, bool]] = []
+        """Of each poll, how long it may wait and whether it renews the lease."""
         self._served = served
 
-    def register(self, life: WorkerLife) -> None:
-        """Nothing to note."""
+    def register(self, incarnation: WorkerLife) -> None:
+        """Do nothing."""
 
     async def poll(self, plan: LookPlan, *, limit: float) -> PollResult:
-        """Fail without any wait."""
-        self.looks += 1
-        self.asked.append((plan.wait_s, plan.renews))
-        if self.looks > LOOKS:
+        """Fail immediately unless the poll is served."""
+        self.polls += 1
+        self.requests.append((plan.wait_s, plan.renews))
+        if self.polls > POLLS:
             raise asyncio.CancelledError
-        if self.looks in self._served:
+        if self.polls in self._served:
             return PollResult(running=(), ended=(), asked_at=0.0)
         raise WorkerUnanswered("reset")
 
@@ -65,9 +65,9 @@
     return supervisor
 
 
-class LookPauseTests(AsyncTestCase):
+class PollIntervalTests(AsyncTestCase):
     def get_pauses(self, *, served: set[int]) -> list[float]:
-        """Return the pauses after looks that failed."""
+        """Return the delays after polls that failed."""
 
         async def run() -> list[float]:
             supervisor = make_supervisor()
@@ -78,24 +78,24 @@
             )
             loop.set_owners(mock.Mock())
             with mock.patch("dalemast.fleet.agent.worker.asyncio.sleep") as sleep:
-                for _ in range(LOOKS):
+                for _ in range(POLLS):
                     await loop._poll()
             return [call.args[0] for call in sleep.call_args_list]
 
         return self.run_async(run())
 
-    def test_looks_become_rare_while_the_worker_resets_them(self) -> None:
+    def test_the_interval_grows_while_the_worker_resets_connections(self) -> None:
         pauses = self.get_pauses(served=set())
         self.assertEqual([0.0, 0.02, 0.04, 0.08, 0.16, 0.16, 0.16, 0.16], pauses)
         self.assertEqual(LONGEST_LOOK_PAUSE_S, max(pauses))
 
-    def test_a_reset_in_passing_costs_nothing(self) -> None:
+    def test_a_single_reset_causes_no_delay(self) -> None:
         pauses = self.get_pauses(served={1, 3, 5, 7})
         self.assertEqual([0.0] * 4, pauses)
 
 
-class SilentWorkerTests(AsyncTestCase):
-    """A worker that falls silent holds up what it ran until its lease has lapsed."""
+class UnresponsiveWorkerTests(AsyncTestCase):
+    """Tasks of an unresponsive worker restart only once its lease has expired."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -111,7 +111,7 @@
         loop.set_owners(mock.Mock())
         return loop
 
-    def look(self, loop: WorkerLoop, times: int) -> None:
+    def poll(self, loop: WorkerLoop, times: int) -> None:
         async def run() -> None:
             with mock.patch("dalemast.fleet.agent.worker.asyncio.sleep"):
                 for _ in range(times):
@@ -131,24 +131,24 @@
         )
         self.supervisor.start(request, now=1.0)
 
-    def test_its_lease_is_renewed_no_more_and_it_is_asked_for_an_answer_at_once(self) -> None:
+    def test_its_lease_is_not_renewed_and_polls_do_not_wait(self) -> None:
         self.start_run()
         driver = ResettingWorker(served={3})
-        self.look(self.make_loop(driver), times=4)
-        self.assertEqual([(LOOK_WAIT_S, True), (0.0, False), (0.0, False)], driver.asked[:3])
-        self.assertEqual((LOOK_WAIT_S, True), driver.asked[3])
+        self.poll(self.make_loop(driver), times=4)
+        self.assertEqual([(LOOK_WAIT_S, True), (0.0, False), (0.0, False)], driver.requests[:3])
+        self.assertEqual((LOOK_WAIT_S, True), driver.requests[3])
 
-    def test_it_takes_no_starts_until_it_answers(self) -> None:
+    def test_it_accepts_no_starts_until_it_responds(self) -> None:
         driver = ResettingWorker(served={2})
         loop = self.make_loop(driver)
         self.assertTrue(self.supervisor.is_accepting(now=1.0))
-        self.look(loop, times=1)
+        self.poll(loop, times=1)
         self.assertFalse(self.supervisor.is_accepting(now=1.0))
-        self.look(loop, times=1)
+        self.poll(loop, times=1)
         self.assertTrue(self.supervisor.is_accepting(now=1.0))
 
-    def test_it_is_given_up_once_its_lease_has_lapsed(self) -> None:
+    def test_it_is_given_up_once_its_lease_has_expired(self) -> None:
         driver = ResettingWorker(served=set())
         driver.leased_until = 0.0
-        self.look(self.make_loop(driver), times=1)
+        self.poll(self.make_loop(driver), times=1)
         self.assertIsNone(self.supervisor.life)
--- a/tests/fleet/test_over_by_now.py
+++ b/tests/fleet/test_over_by_now.py
@@ -1,4 +1,4 @@
-"""What an agent takes as over, or as compared, without being told so."""
+"""When an agent may take runs as ended, or its runs as reconciled by an entry."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 JOB = "00000000000000d{:x}"
 
 
-class LeavingTests(AsyncTestCase):
-    def test_a_worker_that_says_that_it_ends_may_run_on(self) -> None:
-        """Without an acknowledgement it ends only seconds later: until then its lease bounds it."""
+class DeregistrationTests(AsyncTestCase):
+    def test_runs_of_a_deregistered_worker_may_go_on(self) -> None:
+        """They must not be restarted elsewhere before its lease has expired."""
 
         async def run() -> None:
             async with LocalFleet(entries=1, workers=2) as fleet:
@@ -34,25 +34,27 @@
         self.run_async(run())
 
 
-class ComparedTests(AsyncTestCase):
-    def test_what_was_compared_for_an_earlier_life_says_nothing_of_the_next(self) -> None:
-        """The answer to news of one life arrives after news of another: a start that comes with it
-        was meant for the first, and its owner will count it as lost with that one."""
+class ReconciledTests(AsyncTestCase):
+    def test_a_start_for_an_earlier_incarnation_is_refused_by_the_next(self) -> None:
+        """A late ``Reconciled`` for the earlier incarnation must not make the agent accept starts
+        that their owner takes as lost."""
 
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent, worker = fleet.agents[0], fleet.workers[0]
                 (session,) = agent._owners._sessions.values()
-                first, news = worker.life_id, session._report_number
-                # From here on the link is cut, with the answer to news of the first life under way.
+                first, number = worker.life_id, session._report_number
+                # From here on the link sends nothing, and the response to the first report is late.
                 with mock.patch.object(session.link, "send") as send:
                     await worker.crash()
                     worker.start()
-                    await wait_until(lambda: _has_settled(agent, first), "the next life")
+                    await wait_until(lambda: _has_settled(agent, first), "the next incarnation")
                     await settle()
-                    said = SentAt(at_ms=session._sent_ms + 10_000)
+                    sent_at = SentAt(at_ms=session._sent_ms + 10_000)
                     self.assertFalse(session.is_reconciled)
-                    session.receive([said, Reconciled(number=news), make_starts(JOB.format(2))])
+                    session.receive(
+                        [sent_at, Reconciled(number=number), make_starts(JOB.format(2))]
+                    )
                     await settle()
                 ends = [c.args[0] for c in send.call_args_list if isinstance(c.args[0], RunEnded)]
                 self.assertEqual([], fleet.get_started(JOB.format(2)))
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -48,7 +48,7 @@
             async with fleet:
                 linked = [e for e in fleet.entries if e.get_state()["workers"]]
                 self.assertEqual(2, len(linked))
-                response = await fleet.submit_like_a_caller(
+                response = await fleet.submit_with_retries(
                     JOB, entry=fleet.entries.index(linked[0])
                 )
                 self.assertEqual(200, response.status)
@@ -198,7 +198,7 @@
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 # A young entry without peers grants nothing yet, so the first claim still waits.
-                await fleet.hang_up(JOB, after_s=0.2)
+                await fleet.abort_submission(JOB, after_s=0.2)
                 self.assertEqual(200, (await fleet.submit(JOB)).status)
 
         self.run_async(scenario())
@@ -206,10 +206,10 @@
     def test_a_caller_that_hangs_up_has_its_tasks_stopped(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                await fleet.hang_up_once_running(JOB, text=make_text(30.0))
+                await fleet.abort_once_running(JOB, text=make_text(30.0))
                 self.assertEqual(1, len(fleet.get_started(JOB)))
                 await wait_until(lambda: not fleet.get_running(JOB))
-                response = await fleet.submit_like_a_caller(JOB, text=make_text(0.05))
+                response = await fleet.submit_with_retries(JOB, text=make_text(0.05))
                 self.assertEqual(200, response.status)
 
         self.run_async(scenario())
--- a/tests/fleet/test_preemption.py
+++ b/tests/fleet/test_preemption.py
@@ -1,4 +1,4 @@
-"""Preemption on real sockets: an urgent job takes room from long tasks that fill the worker."""
+"""Preemption over real sockets: an urgent job preempts long tasks that use the whole worker."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 LONG_S = 3.0
 LONG_SLACK_MS = 5000
 FREELY = {"LOST_SHARE": 50.0, "KEPT_SHARE": 0.0}
-"""Bounds that let one small worker stop runs once one has ended well there."""
+"""Limits under which a worker may preempt runs after its first successful run."""
 
 
 class ReportTests(testtools.TestCase):
-    def test_each_owner_hears_at_once_that_its_room_is_free(self) -> None:
-        """The room is kept for less than the pause between two reports to one of many owners."""
+    def test_owners_are_notified_immediately_of_preempted_capacity(self) -> None:
+        """The reservation is shorter than the report interval of one of many owners."""
         limits = SupervisorLimits(owner_patience_s=0.5, lease_s=0.6, stop_s=0.05)
         supervisor = Supervisor(limits=limits)
         owners = ("o1", "o2")
-        sessions = {name: OwnerSession(link=mock.Mock(), links=mock.Mock()) for name in owners}
+        sessions = {name: OwnerSession(link=mock.Mock(), handler=mock.Mock()) for name in owners}
         reports = WorkerReports(
             supervisor=supervisor, sessions=sessions, policy=LoadPolicy(), metrics=Metrics()
         )
@@ -70,7 +70,7 @@
             self.run_async(run())
 
     async def configure(self, fleet: LocalFleet) -> None:
-        """Have a less urgent queue beside the usual one."""
+        """Add a less urgent queue to the configuration."""
         configuration = make_configuration(8)
         long: dict[str, Any] = {"name": "crews", "path_prefix": LONG_PREFIX, "priority": 2}
         long["slo_ms"] = LONG_SLACK_MS
@@ -80,13 +80,13 @@
         await wait_until(lambda: entry.get_state()["configuration"] == 8, "the configuration")
 
     async def fill(self, fleet: LocalFleet) -> asyncio.Task[JsonResponse]:
-        """Let long tasks take all of the worker; return their job's answer to come."""
+        """Start long tasks that use the whole worker; return the task that awaits the response."""
         body = make_body(text=make_text(LONG_S), count=4, estimate_ms=int(LONG_S * 1000))
         answer = asyncio.create_task(fleet.call("POST", LONG_PREFIX + LONG_JOB, 0, body))
         await wait_until(lambda: len(fleet.get_running(LONG_JOB)) == 4, "the worker to be full")
         return answer
 
-    def test_an_urgent_job_begins_and_the_preempted_task_runs_again(self) -> None:
+    def test_an_urgent_job_starts_and_the_preempted_task_restarts(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             answer = await self.fill(fleet)
             urgent = await fleet.submit("a" * 16, text=make_text(0.05))
@@ -102,7 +102,7 @@
 
         self.play(scenario, preempts=True)
 
-    def test_nothing_gives_way_where_it_is_not_asked_for(self) -> None:
+    def test_nothing_is_preempted_without_the_setting(self) -> None:
         async def scenario(fleet: LocalFleet) -> None:
             answer = await self.fill(fleet)
             urgent = await fleet.submit("a" * 16, text=make_text(0.05))
--- a/tests/fleet/test_routes.py
+++ b/tests/fleet/test_routes.py
@@ -76,7 +76,7 @@
     def make_relay(self, *owners: str) -> EntryRelay:
         self.sessions: dict[str, OwnerSession] = {}
         for owner in owners:
-            session = OwnerSession(link=FakeLink(), links=mock.Mock())  # type: ignore[arg-type]
+            session = OwnerSession(link=FakeLink(), handler=mock.Mock())  # type: ignore[arg-type]
             session.member = make_member(owner)
             self.sessions[owner] = session
         limits = SupervisorLimits(owner_patience_s=0.45, lease_s=0.6, stop_s=0.05)
@@ -302,7 +302,7 @@
         async def run() -> None:
             frames: list[str] = []
             link = RelayedLink(
-                message_type=PeerMessage, pass_on=frames.append, end_route=lambda: None
+                message_type=PeerMessage, forward=frames.append, end_route=lambda: None
             )
             link.send(LinkHeartbeat())
             link.send(LinkHeartbeat(is_receiving=False))
@@ -326,9 +326,9 @@
                 (session,) = owners._sessions.values()
                 assert session.member is not None
                 later = make_member("life-later", session.member.name)
-                owners._end_earlier_lives(make_member(OTHER, "another-entry"))
+                owners._end_earlier_incarnations(make_member(OTHER, "another-entry"))
                 self.assertTrue(session.link.is_open)
-                owners._end_earlier_lives(later)
+                owners._end_earlier_incarnations(later)
                 self.assertFalse(session.link.is_open)
                 self.assertNotIn(session.owner, owners._sessions)
 
--- a/tests/fleet/test_said.py
+++ b/tests/fleet/test_said.py
@@ -1,7 +1,6 @@
-"""What an owner says counts from when it was said, however late it arrives.
+"""The owner timeout starts when a frame was sent and not when it arrives.
 
-A frame may be held up on its way, or wait at an agent that stands still. Taken as of its arrival,
-it kept runs alive that its owner had given up by then.
+Otherwise a delayed frame keeps runs alive that the owner has given up in the meantime.
 """
 
 from __future__ import annotations
@@ -30,66 +29,66 @@
 
 JOB = "00000000000000c{:x}"
 ENTRY_AHEAD_S = 5000.0
-"""By how much the entry's steady clock is ahead of the agent's."""
+"""Offset of the entry's monotonic clock from the agent's."""
 
 
-class SaidTests(testtools.TestCase):
+class SentAtTests(testtools.TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.link = mock.Mock()
-        self.session = OwnerSession(link=self.link, links=mock.Mock())
+        self.session = OwnerSession(link=self.link, handler=mock.Mock())
         self.session.is_reconciled = True
 
-    def ask(self, *, way_s: float) -> None:
-        """Ask for the entry's clock; the question takes this long to arrive."""
+    def exchange_clocks(self, *, delay_s: float) -> None:
+        """Request the entry's clock; the request takes this long to arrive."""
         self.session.request_clock()
-        (asked,) = self.link.send.call_args.args
-        self.assertIsInstance(asked, ClockRequest)
-        received_at_ms = asked.sent_at_ms + round((way_s + ENTRY_AHEAD_S) * 1000)
+        (request,) = self.link.send.call_args.args
+        self.assertIsInstance(request, ClockRequest)
+        received_at_ms = request.sent_at_ms + round((delay_s + ENTRY_AHEAD_S) * 1000)
         self.session.handle_clock(
-            ClockResponse(sent_at_ms=asked.sent_at_ms, received_at_ms=received_at_ms)
+            ClockResponse(sent_at_ms=request.sent_at_ms, received_at_ms=received_at_ms)
         )
 
-    def say(self, *, ago_s: float) -> float:
-        """Take in a frame that was said a while ago; return the age that it is given."""
+    def get_age_s(self, *, ago_s: float) -> float:
+        """Return the estimated age of a frame that was sent ``ago_s`` ago."""
         now = clock.monotonic()
         self.session.record_sent_at(SentAt(at_ms=int((now - ago_s + ENTRY_AHEAD_S) * 1000)))
         return now - self.session.frame_sent_at
 
-    def test_before_the_entrys_clock_is_known_nothing_counts(self) -> None:
-        self.assertEqual(float("inf"), self.say(ago_s=0.0))
+    def test_frames_are_infinitely_old_before_the_clock_offset_is_known(self) -> None:
+        self.assertEqual(float("inf"), self.get_age_s(ago_s=0.0))
 
-    def test_before_the_entry_has_compared_its_runs_nothing_counts(self) -> None:
-        self.ask(way_s=0.0)
+    def test_frames_are_infinitely_old_before_the_entry_has_reconciled_its_runs(self) -> None:
+        self.exchange_clocks(delay_s=0.0)
         self.session.is_reconciled = False
-        self.assertEqual(float("inf"), self.say(ago_s=0.0))
+        self.assertEqual(float("inf"), self.get_age_s(ago_s=0.0))
 
-    def test_an_answer_to_earlier_news_of_the_worker_is_not_one_to_the_newest(self) -> None:
-        """Starts that were under way meanwhile count as over at an entry that compares it next."""
-        self.ask(way_s=0.0)
+    def test_reconciled_must_refer_to_the_last_worker_report(self) -> None:
+        """An entry takes starts in transit as ended if the next report does not list them."""
+        self.exchange_clocks(delay_s=0.0)
         first = self.session.begin_report()
-        self.assertEqual(float("inf"), self.say(ago_s=0.0))
+        self.assertEqual(float("inf"), self.get_age_s(ago_s=0.0))
         second = self.session.begin_report()
         self.session.handle_reconciled(Reconciled(number=first))
-        self.assertEqual(float("inf"), self.say(ago_s=0.0))
+        self.assertEqual(float("inf"), self.get_age_s(ago_s=0.0))
         self.session.handle_reconciled(Reconciled(number=second))
-        self.assertLess(self.say(ago_s=0.0), 0.02)
+        self.assertLess(self.get_age_s(ago_s=0.0), 0.02)
 
-    def test_the_age_is_at_least_the_true_one_and_at_most_the_questions_way_more(self) -> None:
-        self.ask(way_s=0.1)
+    def test_the_estimated_age_is_too_high_by_at_most_the_delay_of_the_request(self) -> None:
+        self.exchange_clocks(delay_s=0.1)
         for ago_s in (0.0, 0.3, 2.0):
-            age_s = self.say(ago_s=ago_s)
+            age_s = self.get_age_s(ago_s=ago_s)
             self.assertGreaterEqual(age_s, ago_s)
             self.assertLess(age_s, ago_s + 0.11)
 
-    def test_the_quickest_question_counts(self) -> None:
-        self.ask(way_s=0.01)
-        self.ask(way_s=0.4)
-        self.assertLess(self.say(ago_s=0.0), 0.02)
+    def test_the_fastest_clock_request_is_used(self) -> None:
+        self.exchange_clocks(delay_s=0.01)
+        self.exchange_clocks(delay_s=0.4)
+        self.assertLess(self.get_age_s(ago_s=0.0), 0.02)
 
 
-class HeldFrameTests(AsyncTestCase):
-    def test_a_start_that_waited_for_long_is_refused_as_not_run(self) -> None:
+class DelayedFrameTests(AsyncTestCase):
+    def test_an_old_start_is_refused(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 owners = fleet.agents[0]._owners
@@ -104,8 +103,8 @@
 
         self.run_async(run())
 
-    def test_a_link_whose_words_seem_to_come_from_the_future_is_given_up(self) -> None:
-        """The agent's host was suspended and its clock with it; what waited would look young."""
+    def test_a_link_with_timestamps_in_the_future_is_reset(self) -> None:
+        """After a suspension that stopped the agent's clock, old frames would appear recent."""
 
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
@@ -117,7 +116,7 @@
 
         self.run_async(run())
 
-    def test_words_that_waited_keep_no_run_alive(self) -> None:
+    def test_old_frames_keep_no_run_alive(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent = fleet.agents[0]
@@ -134,7 +133,7 @@
 
 
 def make_starts(job_id: str) -> Starts:
-    """Return the message that starts a job of one long task."""
+    """Return the message that starts a job with one long task."""
     task = StartRow(
         step=0, position=0, run=1, cpu=1000, memory_mb=10, gpu=0, expected_s=5.0, number=1
     )
--- a/tests/fleet/test_timing.py
+++ b/tests/fleet/test_timing.py
@@ -1,4 +1,4 @@
-"""The chain of times below the soonest new submission."""
+"""Runs of a lost owner must end before a caller may resubmit the job."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     return FleetEntrySettings(**{**values, **fields})
 
 
-class TimesTests(testtools.TestCase):
+class FleetTimesTests(testtools.TestCase):
     @given(st.floats(0.5, 10.0), st.floats(0.1, 5.0), st.floats(0.01, 0.1))
     def test_lost_runs_end_before_a_caller_may_submit_again(
         self, resend_s: float, lease_max_s: float, stop_s: float
@@ -39,23 +39,23 @@
         self.assertLessEqual(times.lease_s, lease_max_s)
         self.assertLess(3 * times.heartbeat_interval_s, times.owner_timeout_s)
 
-    def test_a_lost_run_is_given_all_the_time_that_it_may_take(self) -> None:
-        """Its owner's word counts for the patience; the lease asked for at the end of that lasts
-        longer on a slow clock; then the worker takes its time to end it."""
+    def test_lost_run_s_covers_the_owner_timeout_the_lease_and_the_stop(self) -> None:
+        """The lease may be renewed at the end of the owner timeout, and lasts longer on a slow
+        worker clock."""
         times = FleetTimes.fit(resend_s=1.3, lease_max_s=1.0, stop_s=0.05)
-        longest_s = times.owner_timeout_s + times.lease_s / (1.0 - WORKER_CLOCK_ERROR)
-        self.assertGreaterEqual(times.lost_run_s, longest_s + times.stop_s + times.margin_s)
+        max_run_s = times.owner_timeout_s + times.lease_s / (1.0 - WORKER_CLOCK_ERROR)
+        self.assertGreaterEqual(times.lost_run_s, max_run_s + times.stop_s + times.margin_s)
 
-    def test_the_usual_times_need_no_shrinking(self) -> None:
+    def test_the_default_times_are_not_scaled_down(self) -> None:
         times = FleetTimes.fit(resend_s=1.3, lease_max_s=1.0, stop_s=0.05)
         self.assertAlmostEqual(FleetTimes().lost_run_s, times.lost_run_s)
 
 
 class CheckTests(testtools.TestCase):
-    def test_good_settings_pass(self) -> None:
+    def test_valid_settings_pass(self) -> None:
         self.assertEqual([], [f.id for f in run_checks(make_settings()) if "E" in f.id])
 
-    def test_what_can_not_work_is_found(self) -> None:
+    def test_invalid_settings_are_reported(self) -> None:
         cases = [
             ({"seeds": ("nowhere",)}, "dalemast.E014", "$.seeds[0]"),
             ({"store": AddressSettings(address="store")}, "dalemast.E014", "$.store.address"),
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -45,7 +45,7 @@
             self.add_owner(name)
 
     def add_owner(self, name: str) -> None:
-        session = OwnerSession(link=mock.Mock(), links=mock.Mock())
+        session = OwnerSession(link=mock.Mock(), handler=mock.Mock())
         session.link.send.side_effect = lambda message: self.note(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no one of them is offered the room before the others.
         session.subscriber.want = Want(rank=(0.0,), cpu=8000)
--- a/tests/fleet/test_words.py
+++ b/tests/fleet/test_words.py
@@ -1,4 +1,4 @@
-"""What an entry's frames say of its words: when they were said, and in which order."""
+"""The send time in an entry's frames, and the order of messages in them."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from tests.fleet.base import LocalFleet, make_text
 
 JOB = "00000000000000e{:x}"
-ASIDE_S = 0.02
-"""Long enough for a difference to show on any clock."""
+BLOCKED_S = 0.02
+"""How long the event loop is blocked; long enough to be visible on any clock."""
 
 
 class FrameTests(AsyncTestCase):
-    def test_a_frame_is_as_old_as_the_entrys_last_check_that_it_ran_on(self) -> None:
-        """It may have stood still between a decision and the sending of what follows from it."""
+    def test_the_send_time_is_that_of_the_last_pause_check(self) -> None:
+        """The entry may have been paused between a decision and the sending of its messages."""
 
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 entry = fleet.entries[0]
-                time.sleep(ASIDE_S)
-                said = entry._agents._make_said()
-                self.assertIsInstance(said, SentAt)
-                self.assertEqual(int(entry._pauses.checked_at * 1000), said.at_ms)
-                self.assertLessEqual(said.at_ms, (clock.monotonic() - ASIDE_S) * 1000)
+                time.sleep(BLOCKED_S)
+                sent_at = entry._agents._make_said()
+                self.assertIsInstance(sent_at, SentAt)
+                self.assertEqual(int(entry._pauses.checked_at * 1000), sent_at.at_ms)
+                self.assertLessEqual(sent_at.at_ms, (clock.monotonic() - BLOCKED_S) * 1000)
 
         self.run_async(run())
 
-    def test_an_entry_checks_whether_it_stood_still_before_each_frame(self) -> None:
+    def test_an_entry_checks_for_a_pause_before_each_frame(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agents = fleet.entries[0]._agents
@@ -44,7 +44,7 @@
 
         self.run_async(run())
 
-    def test_an_agent_that_stood_still_drops_its_links(self) -> None:
+    def test_an_agent_resets_its_links_after_a_pause(self) -> None:
         async def run() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agent = fleet.agents[0]
@@ -57,10 +57,9 @@
 
 
 class OrderTests(AsyncTestCase):
-    """Between the stops and the starts an entry says that it has compared an agent's runs.
+    """An entry sends ``Reconciled`` between the stops and the starts.
 
-    SentAt before the stops, it would keep alive what it stops; said after the starts, they would be
-    refused.
+    Before the stops it would keep the stopped runs alive; after the starts these would be refused.
     """
 
     def test_stops_come_first_and_starts_last(self) -> None:
@@ -68,25 +67,25 @@
             async with LocalFleet(entries=1, workers=1) as fleet:
                 agents = fleet.entries[0]._agents
                 (session,) = agents._sessions.values()
-                news = make_news(session.worker, JOB.format(1))
+                report = make_report(session.worker, JOB.format(1))
                 sent: list[Any] = []
                 agents.take(session, WorkerReport("", "", 0, 0, 0, ()))
                 job = asyncio.ensure_future(fleet.submit(JOB.format(2), text=make_text(0.1)))
                 waiting = fleet.entries[0]._scheduler.open_jobs
                 await wait_until(lambda: bool(waiting), "the job to wait")
                 with mock.patch.object(session.link, "send", side_effect=sent.append):
-                    agents.take(session, news)
+                    agents.take(session, report)
                 kinds = [type(message) for message in sent]
                 self.assertLess(kinds.index(Stop), kinds.index(Reconciled))
                 self.assertNotIn(Starts, kinds[: kinds.index(Reconciled)])
-                self.assertEqual(news.number, sent[kinds.index(Reconciled)].number)
+                self.assertEqual(report.number, sent[kinds.index(Reconciled)].number)
                 job.cancel()
 
         self.run_async(run())
 
 
-def make_news(worker: str, job_id: str) -> WorkerReport:
-    """Return the news of a worker on which a run goes on that the entry does not know."""
+def make_report(worker: str, job_id: str) -> WorkerReport:
+    """Return the report of a worker with a run that the entry does not know."""
     key = TaskKey(0, 0)
     run = RunRow(job=job_id, step=key.step, position=key.position, run=1)
     return WorkerReport(
