--- a/dalemast/fleet/agent/owners.py
+++ b/dalemast/fleet/agent/owners.py
@@ -1,4 +1,4 @@
-"""The agent's links with entries: starts and stops come in, ends and slow runs go out."""
+"""The agent's links with entries, over which it receives orders and reports runs."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from dalemast.fleet.agent.relay import EntryRelay
 from dalemast.fleet.agent.reports import (
     WorkerReports,
-    make_leaving,
+    make_departure,
+    to_capacity_request,
     to_row,
-    to_want,
 )
 from dalemast.fleet.base import Member
-from dalemast.fleet.crashes import CrashMemory, make_crashed
+from dalemast.fleet.crashes import CrashMemory, make_worker_crashed
 from dalemast.fleet.evacuations import EvacuationsInForce
 from dalemast.fleet.frames import (
     AgentHello,
@@ -63,7 +63,7 @@
 
 
 class OwnerLinks:
-    """All entries in reach of this agent."""
+    """The links with all entries that this agent can reach."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         metrics: Metrics,
         start: Callable[[StartRequest], None],
         stop: Callable[[RunId, str], None],
-        take_want: Callable[[str, CapacityRequest | None, float], None],
+        handle_capacity_request: Callable[[str, CapacityRequest | None, float], None],
         check_pause: Callable[[], bool],
     ) -> None:
         self._name = name
@@ -92,14 +92,14 @@
         self._times = times
         self._start = start
         self._stop = stop
-        self._take_want = take_want
+        self._handle_capacity_request = handle_capacity_request
         self._check_pause = check_pause
         self._dialling = OwnerDialling(
             name=name,
             data_centre=data_centre,
             book=book,
             bounds=bounds,
-            make_receiver=lambda link: OwnerSession(link=link, links=self),
+            make_receiver=lambda link: OwnerSession(link=link, handler=self),
         )
         self._sessions: dict[str, OwnerSession] = {}
         self._reports = WorkerReports(
@@ -116,68 +116,71 @@
         self._dialling.start()
 
     def stop_all(self) -> None:
-        """Say goodbye and end all links."""
+        """Send a goodbye on all links and close them."""
         for session in self._sessions.values():
             session.link.send(Goodbye())
             session.link.flush()
         self._dialling.stop()
 
     def reset_all(self) -> None:
-        """Reset all links, so that nothing is acted on that waited in their sockets."""
+        """Reset all links and discard the frames that wait in their sockets."""
         for session in list(self._sessions.values()):
             session.link.reset()
             self.end_session(session)
 
     def receive(self, session: OwnerSession, messages: list[EntryMessage]) -> None:
-        """Take in a frame, unless this process stood still while it waited in the socket."""
+        """Handle a frame, unless it waited in the socket during a process pause."""
         if self._check_pause():
-            # A link without its greeting is in no list yet, and would stay open without one.
+            # A link that has not received its hello yet is not covered by reset_all().
             session.link.reset()
         if not session.link.is_open:
             return
         for message in messages:
-            self._take(session, message)
-        if session.said_at > clock.monotonic():
-            # This host's clock has lost time, as in a suspended one: no age of a word is known.
+            self._handle(session, message)
+        if session.frame_sent_at > clock.monotonic():
+            # This host's clock has lost time, for example while suspended: the age of the frame is
+            # unknown.
             log_event("link:clock-lost-time", entry=session.owner)
             session.link.reset()
             self.end_session(session)
             return
-        # After the stops of this frame, which it does not keep alive.
-        self._supervisor.renew_owner(session.owner, sent_at=session.said_at)
+        # After the stops in this frame: it must not keep alive the runs that it stops.
+        self._supervisor.renew_owner(session.owner, sent_at=session.frame_sent_at)
 
     def end_session(self, session: OwnerSession) -> None:
-        """Note that a link has ended; its owner's runs go on for as long as patience lasts."""
+        """Handle the end of a link; the owner's runs go on until the owner timeout."""
         if self._sessions.get(session.owner) is session:
             del self._sessions[session.owner]
             name = session.member.name if session.member else ""
             log_event("entry:lost", entry=name, runs=self._count_runs(session))
-            self._relay.tell_changes()
+            self._relay.report_changes()
 
-    def report_crash(self, worker: str, tasks: tuple[CrashedTask, ...], *, is_seen: bool) -> None:
-        """Tell all entries what ran on a life of the worker that has crashed, or fallen silent."""
-        crashed = make_crashed(worker, tasks, is_seen=is_seen)
+    def report_crash(
+        self, worker: str, tasks: tuple[CrashedTask, ...], *, is_observed: bool
+    ) -> None:
+        """Report to all entries what ran on an incarnation that crashed or became unresponsive."""
+        crashed = make_worker_crashed(worker, tasks, is_observed=is_observed)
         self._crashes.add(crashed)
         for session in self._sessions.values():
             session.link.send(crashed)
 
-    def note_worker_there(self, life: str) -> None:
-        """Note that a life of the worker answers, so that it has not ended."""
-        self._crashes.note_there(life)
+    def record_worker_alive(self, worker: str) -> None:
+        """Record that a worker incarnation responds, so it has not ended."""
+        self._crashes.record_alive(worker)
 
     def report_end(self, report: ReportEnd) -> None:
-        """Tell an owner how a run ended."""
+        """Report to the owner how a run ended."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
-        news = RunEnded(
+        message = RunEnded(
             run=to_row(report.run_id), reason=report.reason, run_s=round(report.run_s, 4)
         )
-        session.link.send(news)
+        session.link.send(message)
         self._reports.note_end(session)
 
     def report_slow(self, report: ReportSlow) -> None:
-        """Tell an owner that a run crawls."""
+        """Report to the owner that a run is slow."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
@@ -191,13 +194,13 @@
             )
         )
 
-    def report_leaving(self, report: ReportDeparture) -> None:
-        """Tell all entries how long the worker stays at the least."""
+    def report_departure(self, report: ReportDeparture) -> None:
+        """Report to all entries when the worker will stop at the earliest."""
         for session in self._sessions.values():
-            session.link.send(make_leaving(report.in_s))
+            session.link.send(make_departure(report.in_s))
 
-    def report_cut_short(self, report: ReportDepartureRisk) -> None:
-        """Tell an owner of a run that the worker can't end before it leaves."""
+    def report_departure_risk(self, report: ReportDepartureRisk) -> None:
+        """Report to the owner that a run can't end before the worker stops."""
         session = self._sessions.get(report.owner)
         if session is None:
             return
@@ -209,46 +212,50 @@
             )
         )
 
-    def mark_room(self) -> None:
-        """Note that the room has changed; each entry is told when its pause is over."""
+    def mark_capacity_changed(self) -> None:
+        """Handle a change of capacity; each entry gets a report when its interval is over."""
         self._reports.note_change(now=clock.monotonic())
 
     def reset_liveness_timers(self, late_s: float) -> None:
-        """Take a time in which this agent did not listen off the silence of all links.
+        """Extend the timeouts of all links by a time in which this process did not read them.
 
-        Only links are forgiven. An owner's runs are stopped when it is silent, whoever's fault that
-        is, since a caller may have submitted the job elsewhere meanwhile.
+        This does not extend owner timeouts: runs are stopped even if the agent itself caused the
+        delay, since a caller may have resubmitted the job to another entry in the meantime.
         """
         for session in self._sessions.values():
             session.reset_liveness(late_s)
 
     def tick(self, now: float) -> None:
-        """Send beats and what room reports are due; give up silent links."""
+        """Send heartbeats and due capacity reports; reset links that have timed out."""
         self._reports.refresh(now=now)
         runs = self._supervisor.runs.values()
         busy = {run.request.owner for run in runs}
-        # An owner that has given a run up may have nothing left to beat for.
-        followed = {run.request.owner for run in runs if run.phase is not RunPhase.STOPPING}
+        # An owner whose runs are all being stopped may have no reason to send heartbeats.
+        active = {run.request.owner for run in runs if run.phase is not RunPhase.STOPPING}
         self._review_links(busy, now)
         self._reports.send_due(now=now)
         for session in list(self._sessions.values()):
             is_busy = session.owner in busy
-            pause_s = self._times.beat_s if is_busy else self._times.idle_beat_s
-            if now - session.clock_asked_at >= session.get_clock_pause_s():
-                session.ask_clock()
-            elif now - session.link.sent_at >= pause_s:
+            interval_s = (
+                self._times.heartbeat_interval_s
+                if is_busy
+                else self._times.idle_heartbeat_interval_s
+            )
+            if now - session.clock_requested_at >= session.get_clock_interval_s():
+                session.request_clock()
+            elif now - session.link.sent_at >= interval_s:
                 session.link.send(LinkHeartbeat())
-            # A link that carries runs may be dead one by one, with the owner alive: its runs are
-            # stopped anyway after this time, and only a new link gives it the worker back.
-            is_followed = session.owner in followed
-            limit_s = self._times.silence_s if is_followed else self._times.idle_silence_s
-            if session.has_missed_probe(now=now) or now - session.link.heard_at > limit_s:
+            # A link may fail while its owner is alive. Its runs are stopped after this time anyway,
+            # and the owner can use the worker again only over a new link.
+            is_active = session.owner in active
+            limit_s = self._times.link_timeout_s if is_active else self._times.idle_link_timeout_s
+            if session.has_missed_probe(now=now) or now - session.link.received_at > limit_s:
                 session.link.reset()
                 self.end_session(session)
-        self._relay.tell_changes()
+        self._relay.report_changes()
 
     def _review_links(self, busy: set[str], now: float) -> None:
-        """Let the choice of entries be reviewed; those whose runs go on here keep their links."""
+        """Review the choice of entries; links of entries with runs here are kept."""
         names = {
             session.member.name
             for session in self._sessions.values()
@@ -256,51 +263,57 @@
         }
         self._dialling.review(busy=names, is_linked=bool(self._sessions), now=now)
 
-    def _take(self, session: OwnerSession, message: EntryMessage) -> None:
+    def _handle(self, session: OwnerSession, message: EntryMessage) -> None:
         match message:
             case SentAt():
-                session.note_said(message)
+                session.record_sent_at(message)
             case ClockResponse():
-                session.take_clock(message)
+                session.handle_clock(message)
             case EntryHello():
-                self._greet(session, message)
+                self._handle_hello(session, message)
             case EvacuationUpdate():
-                self._take_evacuations(session, message)
+                self._handle_evacuations(session, message)
             case MemberUpdate():
-                self._book.learn(to_member(row) for row in message.members)
+                self._book.add_members(to_member(row) for row in message.members)
             case Reconciled():
-                session.note_reconciled(message)
+                session.handle_reconciled(message)
             case Starts():
-                self._take_starts(session, message)
+                self._handle_starts(session, message)
             case Stop():
                 row = message.run
                 run_id = RunId(row.job, TaskKey(row.step, row.position), row.run)
                 self._stop(run_id, session.owner)
             case CapacityRequestUpdate():
-                self._reports.take_want(session, message.want, now=clock.monotonic())
-                self._take_want(session.owner, session.audience.request, session.said_at)
+                self._reports.handle_capacity_request(
+                    session, message.request, now=clock.monotonic()
+                )
+                self._handle_capacity_request(
+                    session.owner, session.subscriber.request, session.frame_sent_at
+                )
             case ReachableEntriesRequest():
-                self._relay.take_ask(session, message)
+                self._relay.handle_request(session, message)
             case Relayed() | RouteEnded():
-                self._relay.pass_on(session, message)
+                self._relay.forward(session, message)
             case LinkHeartbeat() | Goodbye():
                 pass
 
-    def _take_evacuations(self, session: OwnerSession, news: EvacuationUpdate) -> None:
-        """Take in what an entry has heard; one that is behind hears it from other entries."""
-        self._evacuations.take(news, source=session.member.name if session.member else "entry")
+    def _handle_evacuations(self, session: OwnerSession, update: EvacuationUpdate) -> None:
+        """Apply an update. An entry that is behind gets the newer state from other entries."""
+        self._evacuations.handle_update(
+            update, source=session.member.name if session.member else "entry"
+        )
 
-    def _greet(self, session: OwnerSession, hello: EntryHello) -> None:
+    def _handle_hello(self, session: OwnerSession, hello: EntryHello) -> None:
         session.member = to_member(hello.member)
-        session.is_near = session.member.data_centre == self._data_centre
+        session.is_same_data_centre = session.member.data_centre == self._data_centre
         before = self._sessions.get(session.owner)
         self._sessions[session.owner] = session
         if before is not None and before is not session:
-            # What is still under way there is missing in what this link tells of runs.
+            # Messages in transit on the old link are not covered by the report on this one.
             before.link.reset()
-        self._end_earlier_lives(session.member)
-        self._book.learn([session.member])
-        session.ask_clock()
+        self._end_earlier_incarnations(session.member)
+        self._book.add_members([session.member])
+        session.request_clock()
         session.link.send(
             AgentHello(
                 name=self._name,
@@ -309,16 +322,17 @@
             )
         )
         for crashed in self._crashes.crashes:
-            # Before the runs that are there: one that is missing there may have ended its worker.
+            # Sent before the list of runs: a task missing in it may have crashed the worker.
             session.link.send(crashed)
         self._supervisor.reset_departure_reports(session.owner)
-        self._reports.greet(session, now=clock.monotonic())
+        self._reports.send_initial_reports(session, now=clock.monotonic())
         log_event("entry:link", entry=session.member.name, runs=self._count_runs(session))
 
-    def _end_earlier_lives(self, member: Member) -> None:
-        """End links with lives that an entry had before the one that has greeted.
+    def _end_earlier_incarnations(self, member: Member) -> None:
+        """Reset links with earlier incarnations of an entry.
 
-        Their host may have lost power, and other entries are told meanwhile that they are heard.
+        After a power loss such links stay open until they time out, and other entries would be told
+        in the meantime that the earlier incarnation is reachable.
         """
         for session in list(self._sessions.values()):
             known = session.member
@@ -326,8 +340,8 @@
                 session.link.reset()
                 self.end_session(session)
 
-    def _take_starts(self, session: OwnerSession, starts: Starts) -> None:
-        session.audience.request = to_want(starts.want)
+    def _handle_starts(self, session: OwnerSession, starts: Starts) -> None:
+        session.subscriber.request = to_capacity_request(starts.request)
         for row in starts.tasks:
             session.seen = max(session.seen, row.number)
             self._start(
@@ -338,7 +352,7 @@
                     resources=Resources(cpu=row.cpu, memory_mb=row.memory_mb, gpu=row.gpu),
                     expected_s=row.expected_s,
                     number=row.number,
-                    sent_at=session.said_at,
+                    sent_at=session.frame_sent_at,
                     priority=starts.priority,
                     restart_slack_s=None if row.restart_slack_s < 0 else row.restart_slack_s,
                 )
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -24,7 +24,7 @@
 from dalemast.core.workloads import Resources, TaskKey
 from dalemast.fleet.address_book import AddressBook, to_row
 from dalemast.fleet.base import Member
-from dalemast.fleet.crashes import make_crashed, read_crashed
+from dalemast.fleet.crashes import make_worker_crashed, read_crashed_tasks
 from dalemast.fleet.entry.agent_sessions import AgentSession
 from dalemast.fleet.entry.routes import PeerRoutes
 from dalemast.fleet.entry.rows import (
@@ -54,9 +54,9 @@
     SentAt,
     Stop,
     WorkerCrashed,
-    WorkerLeaving,
-    WorkerPace,
+    WorkerDeparture,
     WorkerReport,
+    WorkerSlowness,
 )
 from dalemast.fleet.frames import (
     CapacityReport as CapacityFrame,
@@ -143,7 +143,7 @@
 
     def send_evacuations(self, _: Evacuations) -> None:
         """Send the evacuations in force to all agents."""
-        message = self._evacuations.make_news()
+        message = self._evacuations.make_update()
         for session in self._sessions.values():
             session.link.send(message)
 
@@ -164,7 +164,7 @@
 
     def send_capacity_requests(self, request: RequestCapacity) -> None:
         """Send agents the capacity that this entry needs for queued work."""
-        message = CapacityRequestUpdate(want=make_capacity_request_row(request.request))
+        message = CapacityRequestUpdate(request=make_capacity_request_row(request.request))
         for worker in request.workers:
             session = self._by_worker.get(worker)
             if session is not None:
@@ -188,9 +188,9 @@
                 self._update_capacity(session, message)
             case CapacityReleases():
                 self._record_capacity_releases(session, message)
-            case WorkerPace():
+            case WorkerSlowness():
                 self._record_speed(session, message)
-            case WorkerLeaving():
+            case WorkerDeparture():
                 self._record_departure(session, message)
             case RunDepartureRisk():
                 self._record_departure_risk(session, message)
@@ -244,11 +244,13 @@
     def _keep_alive(self, session: AgentSession, *, is_busy: bool, now: float) -> None:
         times = self._times
         link = session.link
-        if now - link.sent_at >= (times.beat_s if is_busy else times.idle_beat_s):
+        if now - link.sent_at >= (
+            times.heartbeat_interval_s if is_busy else times.idle_heartbeat_interval_s
+        ):
             link.send(LinkHeartbeat())
-        heard_at = max(link.heard_at, session.active_since or 0.0)
+        heard_at = max(link.received_at, session.active_since or 0.0)
         silence_s = now - heard_at
-        if silence_s > (times.silence_s if is_busy else times.idle_silence_s):
+        if silence_s > (times.link_timeout_s if is_busy else times.idle_link_timeout_s):
             self.end_session(session, f"no message received for {silence_s:.2f} s")
 
     def _mark_active(self, session: AgentSession) -> None:
@@ -264,8 +266,10 @@
         return SentAt(at_ms=int(self._get_checked_at() * 1000))
 
     def _send_clock_response(self, session: AgentSession, request: ClockRequest) -> None:
-        heard_at_ms = math.ceil(clock.monotonic() * 1000)
-        session.link.send(ClockResponse(sent_at_ms=request.sent_at_ms, heard_at_ms=heard_at_ms))
+        received_at_ms = math.ceil(clock.monotonic() * 1000)
+        session.link.send(
+            ClockResponse(sent_at_ms=request.sent_at_ms, received_at_ms=received_at_ms)
+        )
 
     def _greet(self, session: AgentSession, hello: AgentHello) -> None:
         previous = self._sessions.get(hello.name)
@@ -275,7 +279,7 @@
         self._sessions[hello.name] = session
         # Later changes are sent to greeted agents only, so the current state is sent here. No start
         # is sent before it.
-        evacuations = self._evacuations.make_news()
+        evacuations = self._evacuations.make_update()
         if evacuations is not None:
             session.link.send(evacuations)
         session.link.send(MemberUpdate(members=tuple(to_row(m) for m in self._book.members)))
@@ -345,14 +349,14 @@
         rows = tuple(CapacityRelease(in_s=row.in_s, cpu=row.cpu) for row in message.rows)
         self._scheduler.note_capacity_releases(session.worker, rows, now=clock.monotonic())
 
-    def _record_departure(self, session: AgentSession, message: WorkerLeaving) -> None:
+    def _record_departure(self, session: AgentSession, message: WorkerDeparture) -> None:
         if not session.worker:
             return
         in_s = None if message.in_s < 0 else message.in_s
         log_event("worker:leaving", worker=session.worker, leaves_in_s=in_s)
         self._scheduler.note_departure(session.worker, in_s, now=clock.monotonic())
 
-    def _record_speed(self, session: AgentSession, message: WorkerPace) -> None:
+    def _record_speed(self, session: AgentSession, message: WorkerSlowness) -> None:
         speed = WorkerSpeed(slowness=message.slowness, runs=message.runs)
         self._scheduler.note_speed(session.worker, speed)
         view = self._scheduler.workers.get(session.worker)
@@ -378,7 +382,7 @@
         own = tuple(row for row in message.tasks if row.job in self._scheduler.open_jobs)
         if own:
             self._notify_peers(
-                WorkerCrashed(worker=message.worker, tasks=own, is_seen=message.is_seen)
+                WorkerCrashed(worker=message.worker, tasks=own, is_observed=message.is_observed)
             )
         self._record_crash(message, is_relayed=False)
 
@@ -390,15 +394,16 @@
         """Return the known crashes, to be sent to a new peer."""
         crashes = self._scheduler.list_crashes().items()
         return [
-            make_crashed(end.incarnation, rows, is_seen=end.is_observed) for end, rows in crashes
+            make_worker_crashed(end.incarnation, rows, is_observed=end.is_observed)
+            for end, rows in crashes
         ]
 
     def _record_crash(self, message: WorkerCrashed, *, is_relayed: bool) -> None:
         actions = self._scheduler.note_crash(
             message.worker,
-            read_crashed(message),
+            read_crashed_tasks(message),
             now=clock.monotonic(),
-            is_observed=message.is_seen,
+            is_observed=message.is_observed,
             is_relayed=is_relayed,
         )
         self._apply(actions)
--- a/dalemast/fleet/entry/peers.py
+++ b/dalemast/fleet/entry/peers.py
@@ -136,7 +136,7 @@
         that time, so that no job runs on both sides.
         """
         since = self._isolated_since
-        return since is not None and clock.monotonic() - since >= self._times.silence_s
+        return since is not None and clock.monotonic() - since >= self._times.link_timeout_s
 
     @property
     def routes(self) -> PeerRoutes:
@@ -176,7 +176,7 @@
 
     def send_evacuations(self, _: Evacuations) -> None:
         """Send the evacuations in force to all entries; some may have no access to the store."""
-        message = self._evacuations.make_news()
+        message = self._evacuations.make_update()
         for session in self._dialled.values():
             session.link.send(message)
 
@@ -191,7 +191,7 @@
 
     def add_members(self, members: Iterable[Member]) -> None:
         """Add entries to the address book, and forward the new ones to peers and agents."""
-        new_members = self._book.learn(members)
+        new_members = self._book.add_members(members)
         if not new_members:
             return
         for session in self._dialled.values():
@@ -230,7 +230,7 @@
             case Goodbye():
                 session.is_ending = True
             case LinkHeartbeat():
-                self._check_dialled_link(session, is_received=message.hears_other)
+                self._check_dialled_link(session, is_received=message.is_receiving)
 
     def end_session(self, session: PeerSession) -> None:
         """Close a link and handle its loss."""
@@ -263,7 +263,7 @@
             # Other messages replace heartbeats, but don't report a failure of the other link.
             is_due = now - session.link.sent_at >= beat_s or not hears_other
             if is_due and self._carries_beats(session):
-                session.link.send(LinkHeartbeat(hears_other=hears_other))
+                session.link.send(LinkHeartbeat(is_receiving=hears_other))
             if now - self._get_last_received_at(session) > LIVENESS_TIMEOUT_BEATS * beat_s:
                 log_event("peer:silent", peer=session.member.name if session.member else "")
                 self.end_session(session)
@@ -324,7 +324,8 @@
         member = session.member
         accepted = None if member is None else self._accepted.get(member.incarnation)
         return (
-            accepted is not None and now - accepted.link.heard_at <= LIVENESS_TIMEOUT_BEATS * beat_s
+            accepted is not None
+            and now - accepted.link.received_at <= LIVENESS_TIMEOUT_BEATS * beat_s
         )
 
     def _check_dialled_link(self, session: PeerSession, *, is_received: bool) -> None:
@@ -348,7 +349,7 @@
 
     def _get_last_received_at(self, session: PeerSession) -> float:
         """Return when a message was last received from an entry, on either of its links."""
-        heard_at = session.link.heard_at
+        heard_at = session.link.received_at
         member = session.member
         if member is None:
             return heard_at
@@ -358,7 +359,7 @@
             other = self._dialled.get(member.name)
         if other is None or other.member != member:
             return heard_at
-        return max(heard_at, other.link.heard_at)
+        return max(heard_at, other.link.received_at)
 
     def _dial(self, address: str) -> None:
         if address in self._dialers:
@@ -382,7 +383,7 @@
 
         The evacuations go first, since an entry serves callers once it has a configuration.
         """
-        evacuations = self._evacuations.make_news()
+        evacuations = self._evacuations.make_update()
         if evacuations is not None:
             session.link.send(evacuations)
         if not session.is_relayed:
@@ -439,7 +440,7 @@
             self._configuration_exchange.handle_version(session, message)
 
     def _handle_evacuations(self, session: PeerSession, message: EvacuationUpdate) -> None:
-        response = self._evacuations.take(message, source=session.name or "peer")
+        response = self._evacuations.handle_update(message, source=session.name or "peer")
         if response is not None:
             session.link.send(response)
 
--- a/dalemast/fleet/entry/process.py
+++ b/dalemast/fleet/entry/process.py
@@ -30,7 +30,7 @@
     JobRejected,
     Member,
 )
-from dalemast.fleet.crashes import make_unseen
+from dalemast.fleet.crashes import make_presumed_crashed
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.fleet.entry.demand import DemandExchange
@@ -90,7 +90,7 @@
             send=lambda starts, stops: self._agents.send(starts, stops),
             request_capacity=lambda request: self._agents.send_capacity_requests(request),
             check_pause=self._check_pause,
-            report_unobserved_end=lambda run: self._peers.send_crash(make_unseen(run)),
+            report_unobserved_end=lambda run: self._peers.send_crash(make_presumed_crashed(run)),
         )
         self._agents = AgentLinks(
             member=self._member,
@@ -129,7 +129,7 @@
         self._ingress: BaseIngress = load_backend(
             settings.backends.ingress, settings=settings, jobs=self
         )
-        self._pauses = PauseWatch(limit_s=self._times.silence_s)
+        self._pauses = PauseWatch(limit_s=self._times.link_timeout_s)
         self._draining_since: float | None = None
 
     @property
@@ -156,7 +156,7 @@
             return JobRejected(cause="draining", retry_after_s=DRAINING_RETRY_S)
         return await self._tracker.run(request)
 
-    def leave(self, job_id: str) -> None:
+    def handle_disconnect(self, job_id: str) -> None:
         """Cancel a job whose caller has disconnected."""
         self._tracker.leave(job_id)
 
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -54,6 +54,6 @@
         job=group[0].job.id,
         payload=group[0].job.payload,
         tasks=tuple(rows),
-        want=make_capacity_request_row(want),
+        request=make_capacity_request_row(want),
         priority=group[0].job.queue.priority,
     )
--- a/tests/fleet/test_cancelled.py
+++ b/tests/fleet/test_cancelled.py
@@ -28,7 +28,7 @@
         # An entry grants no claims for a while after its start; the job must not wait for that.
         await self.check_capacity_is_free(fleet)
         fleet.workers[0].set_faults(late_orders=1.0, lost_stops=1.0)
-        await fleet.hang_up(JOB, after_s=0.2, text=ENDLESS)
+        await fleet.abort_submission(JOB, after_s=0.2, text=ENDLESS)
         await wait_until(lambda: bool(fleet.get_running(JOB)), "the late start")
 
     def test_a_task_that_started_late_is_stopped_once_stops_arrive(self) -> None:
@@ -67,7 +67,7 @@
     async def check_capacity_is_free(self, fleet: LocalFleet, entry: int = 0) -> None:
         """Check that a job that needs the whole worker can run."""
         self._checks += 1
-        response = await fleet.submit_like_a_caller(
+        response = await fleet.submit_with_retries(
             f"{self._checks:016x}", entry=entry, cpu=fleet._cpu, text=make_text(0.05)
         )
         self.assertEqual(200, response.status)
@@ -79,7 +79,7 @@
     def test_the_state_of_an_overdue_job_is_logged_once(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(2.0), patience_ms=800))
+                job = asyncio.ensure_future(fleet.submit(JOB, text=make_text(2.0), deadline_ms=800))
                 with mock.patch("dalemast.fleet.entry.job_tracker.log_event") as log:
                     self.assertEqual(200, (await job).status)
                 overdue = [call for call in log.call_args_list if call.args == ("job:overdue",)]
--- a/tests/fleet/test_crashes.py
+++ b/tests/fleet/test_crashes.py
@@ -11,8 +11,8 @@
 from dalemast.fleet.crashes import (
     MAX_CRASHES,
     CrashMemory,
-    make_crashed,
-    read_crashed,
+    make_worker_crashed,
+    read_crashed_tasks,
 )
 from dalemast.fleet.entry.agents import AgentLinks
 from dalemast.fleet.frames import (
@@ -33,7 +33,7 @@
     async def submit(self, fleet: LocalFleet, entry: int) -> str:
         """Submit a job whose task crashes its worker, and return its final state."""
         text = make_text(1.0, crash_s=CRASH_S)
-        response = await fleet.submit_like_a_caller(JOB, entry=entry, text=text)
+        response = await fleet.submit_with_retries(JOB, entry=entry, text=text)
         self.assertEqual(200, response.status)
         return str(response.decode(dict[str, str])["state"])
 
@@ -41,7 +41,7 @@
         async def run() -> None:
             async with LocalFleet(entries=2, workers=5) as fleet:
                 sound = asyncio.create_task(
-                    fleet.submit_like_a_caller(SOUND_JOB, text=make_text(1.0), count=4)
+                    fleet.submit_with_retries(SOUND_JOB, text=make_text(1.0), count=4)
                 )
                 self.assertEqual("failed", await self.submit(fleet, entry=0))
                 starts = len(fleet.get_started(JOB))
@@ -55,16 +55,16 @@
 
 
 class CrashMemoryTests(unittest.TestCase):
-    def make_message(self, incarnation: str, *, is_seen: bool = True) -> WorkerCrashed:
+    def make_message(self, incarnation: str, *, is_observed: bool = True) -> WorkerCrashed:
         row = CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.0312)
-        return make_crashed(incarnation, [row], is_seen=is_seen)
+        return make_worker_crashed(incarnation, [row], is_observed=is_observed)
 
     def test_a_message_decodes_to_the_tasks_it_was_made_of(self) -> None:
         rows = [
             CrashedTask(job_id=JOB, task=TaskKey(0, 1), age_s=0.25),
             CrashedTask(job_id=JOB, task=TaskKey(2, 0), age_s=None),
         ]
-        self.assertEqual(rows, read_crashed(make_crashed("i-1", rows)))
+        self.assertEqual(rows, read_crashed_tasks(make_worker_crashed("i-1", rows)))
 
     def test_entries_receive_it_from_agents_and_from_peers(self) -> None:
         for kind in (AgentMessage, PeerMessage):
@@ -81,16 +81,16 @@
 
     def test_an_unresponsive_incarnation_that_is_back_is_removed(self) -> None:
         memory = CrashMemory()
-        memory.add(self.make_message("i-1", is_seen=False))
-        memory.note_there("i-1")
+        memory.add(self.make_message("i-1", is_observed=False))
+        memory.record_alive("i-1")
         self.assertEqual((), memory.crashes)
 
     def test_an_unresponsive_incarnation_that_is_replaced_stays_unobserved(self) -> None:
         """Its tasks may have ended before it was replaced."""
         memory = CrashMemory()
-        memory.add(self.make_message("i-1", is_seen=False))
-        memory.note_there("i-2")
-        self.assertEqual([False], [crashed.is_seen for crashed in memory.crashes])
+        memory.add(self.make_message("i-1", is_observed=False))
+        memory.record_alive("i-2")
+        self.assertEqual([False], [crashed.is_observed for crashed in memory.crashes])
 
 
 class OwnerNotificationTests(unittest.TestCase):
@@ -113,8 +113,8 @@
         rows = [
             CrashedTask(job_id=job_id, task=TaskKey(0, 0), age_s=0.25) for job_id in (JOB, "other")
         ]
-        links.handle_message(mock.Mock(), make_crashed("i-1", rows))
-        notify_peers.assert_called_once_with(make_crashed("i-1", rows[:1]))
+        links.handle_message(mock.Mock(), make_worker_crashed("i-1", rows))
+        notify_peers.assert_called_once_with(make_worker_crashed("i-1", rows[:1]))
         scheduler.note_crash.assert_called_once_with(
             "i-1", rows, now=mock.ANY, is_observed=True, is_relayed=False
         )
--- a/tests/fleet/test_demand.py
+++ b/tests/fleet/test_demand.py
@@ -115,7 +115,7 @@
                     lambda: get_sent_count(second) > 5, "the second's report to be renewed"
                 )
                 await wait_until(lambda: get_ahead(first) > 0.0, "the second's report")
-                second.leave(JOB.format(3))
+                second.handle_disconnect(JOB.format(3))
                 await wait_until(
                     lambda: not get_reported_demand(first, "entry-1"), "its report to be withdrawn"
                 )
--- a/tests/fleet/test_job_tracker.py
+++ b/tests/fleet/test_job_tracker.py
@@ -339,7 +339,7 @@
             tracker.tick(self.now)
             job = asyncio.ensure_future(tracker.run(make_job(JOB)))
             await wait_until(lambda: bool(self.scheduler.open_jobs), "the job to be queued")
-            tracker.abandon_started(self.now + TIMES.silence_s)
+            tracker.abandon_started(self.now + TIMES.link_timeout_s)
             self.assertEqual([JOB], list(self.scheduler.open_jobs))
             tracker.leave(JOB)
             await job
--- a/tests/fleet/test_path.py
+++ b/tests/fleet/test_path.py
@@ -8,7 +8,13 @@
 
 from dalemast.core.ownership import choose_home
 from tests.base import AsyncTestCase, wait_until
-from tests.fleet.base import PREFIX, LocalFleet, make_configuration, make_text, settle
+from tests.fleet.base import (
+    PREFIX,
+    LocalFleet,
+    make_configuration,
+    make_text,
+    settle,
+)
 
 JOB = "00000000000000aa"
 
@@ -48,7 +54,7 @@
             async with fleet:
                 linked = [e for e in fleet.entries if e.get_state()["workers"]]
                 self.assertEqual(2, len(linked))
-                response = await fleet.submit_like_a_caller(
+                response = await fleet.submit_with_retries(
                     JOB, entry=fleet.entries.index(linked[0])
                 )
                 self.assertEqual(200, response.status)
@@ -198,7 +204,7 @@
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 # An entry grants no ids right after its start, so the first claim still waits.
-                await fleet.hang_up(JOB, after_s=0.2)
+                await fleet.abort_submission(JOB, after_s=0.2)
                 self.assertEqual(200, (await fleet.submit(JOB)).status)
 
         self.run_async(scenario())
@@ -206,10 +212,10 @@
     def test_the_tasks_of_a_caller_that_disconnects_are_stopped(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
-                await fleet.hang_up_once_running(JOB, text=make_text(30.0))
+                await fleet.abort_once_running(JOB, text=make_text(30.0))
                 self.assertEqual(1, len(fleet.get_started(JOB)))
                 await wait_until(lambda: not fleet.get_running(JOB))
-                response = await fleet.submit_like_a_caller(JOB, text=make_text(0.05))
+                response = await fleet.submit_with_retries(JOB, text=make_text(0.05))
                 self.assertEqual(200, response.status)
 
         self.run_async(scenario())
--- a/tests/fleet/test_turns.py
+++ b/tests/fleet/test_turns.py
@@ -49,10 +49,10 @@
             self.add_owner(name)
 
     def add_owner(self, name: str) -> None:
-        session = OwnerSession(link=mock.Mock(), links=mock.Mock())
+        session = OwnerSession(link=mock.Mock(), handler=mock.Mock())
         session.link.send.side_effect = lambda message: self.record(name, message)  # type: ignore[attr-defined]
         # More than is free, so that no owner is offered the capacity before the others.
-        session.audience.request = CapacityRequest(rank=(0.0,), cpu=8000)
+        session.subscriber.request = CapacityRequest(rank=(0.0,), cpu=8000)
         self.sessions[name] = session
 
     def record(self, name: str, message: object) -> None:
@@ -93,7 +93,7 @@
             metrics=Metrics(),
         )
         reports.note_change(now=NOW)
-        self.sessions["o2"].audience.mark_urgent()
+        self.sessions["o2"].subscriber.mark_urgent()
         reports.send_due(now=NOW)
         self.notified = []
         reports.note_change(now=NOW + ROUND_S)
