--- a/dalemast/emulator/store.py
+++ b/dalemast/emulator/store.py
@@ -11,7 +11,7 @@
 from tornado.web import Application, RequestHandler
 
 from dalemast.http.server import bind_address, log_nothing
-from dalemast.platform.wire import FeedAnswer, RowBody, RowsAnswer
+from dalemast.platform.wire import FeedResponse, RowBody, RowsResponse
 
 __all__ = ["EmulatedStore"]
 
@@ -140,20 +140,20 @@
             self._rows[body.table, body.key] = body
             self._raw.pop((body.table, body.key), None)
 
-    def read_page(self, table: str, first_key: str) -> RowsAnswer:
+    def read_page(self, table: str, first_key: str) -> RowsResponse:
         """Return the rows of a table from a key on, as many as a page holds."""
         rows = tuple(
             row for row in self._get_rows(table) if row.key >= first_key and not row.is_removed
         )
         has_more = len(rows) > self.page_rows
         shown = self._show(rows[: self.page_rows])
-        return RowsAnswer(rows=shown, has_more=has_more, ver=self.version)
+        return RowsResponse(rows=shown, has_more=has_more, ver=self.version)
 
     def _get_rows(self, table: str) -> list[RowBody]:
         """Return the rows of a table by key, with those that were removed."""
         return [row for (name, _), row in sorted(self._rows.items()) if name == table]
 
-    async def follow(self, table: str, since: int, wait_s: float) -> FeedAnswer:
+    async def follow(self, table: str, since: int, wait_s: float) -> FeedResponse:
         """Return what has changed, as soon as anything has; raises :class:`HistoryForgotten`."""
         answer_by = asyncio.get_running_loop().time() + wait_s
         while True:
@@ -161,7 +161,7 @@
                 raise HistoryForgotten
             rows = tuple(row for row in self._get_rows(table) if row.ver > since)
             if rows or asyncio.get_running_loop().time() >= answer_by:
-                return FeedAnswer(rows=self._show(rows), ver=self.version)
+                return FeedResponse(rows=self._show(rows), ver=self.version)
             await asyncio.sleep(FEED_GRAIN_S)
 
     def _show(self, rows: tuple[RowBody, ...]) -> tuple[Any, ...]:
--- a/dalemast/emulator/worker.py
+++ b/dalemast/emulator/worker.py
@@ -18,16 +18,16 @@
 from dalemast.emulator.runs import EmulatedRuns, Order
 from dalemast.http.client import HttpFailure, JsonClient
 from dalemast.http.server import bind_address, log_nothing
-from dalemast.platform.lives import make_life_id
+from dalemast.platform.incarnations import make_incarnation_id
 from dalemast.platform.wire import (
-    EXPECTED_LIFE_HEADER,
+    EXPECTED_INCARNATION_HEADER,
     CapacityBody,
-    ClockAnswer,
+    ClockResponse,
     Heartbeat,
-    HoldAnswer,
+    HoldResponse,
     WorkerState,
 )
-from dalemast.platform.worker import LOOK_PATH, START_PATH, STOP_PATH
+from dalemast.platform.worker import POLL_PATH, START_PATH, STOP_PATH
 
 __all__ = ["EmulatedWorker", "WorkerFaults"]
 
@@ -87,7 +87,7 @@
         }[kind]
 
 
-Answer = tuple[int, ClockAnswer | HoldAnswer]
+Answer = tuple[int, ClockResponse | HoldResponse]
 Serve = Callable[[dict[str, Any]], Awaitable[Answer]]
 
 
@@ -101,7 +101,7 @@
 
     async def post(self) -> None:
         """Serve the call unless it is meant for another life."""
-        expected = self.request.headers.get(EXPECTED_LIFE_HEADER)
+        expected = self.request.headers.get(EXPECTED_INCARNATION_HEADER)
         if expected not in (None, self._worker.worker_id):
             self.set_status(421)
             self.finish(b"{}")
@@ -182,7 +182,7 @@
     @property
     def life_id(self) -> str:
         """What agents call the present life."""
-        return make_life_id(self._worker_id, self._told_born)
+        return make_incarnation_id(self._worker_id, self._told_born)
 
     @property
     def is_down(self) -> bool:
@@ -241,7 +241,7 @@
         routes = [
             (START_PATH, CallHandler, {"worker": self, "kind": CallKind.START}),
             (STOP_PATH, CallHandler, {"worker": self, "kind": CallKind.STOP}),
-            (LOOK_PATH, CallHandler, {"worker": self, "kind": CallKind.LOOK}),
+            (POLL_PATH, CallHandler, {"worker": self, "kind": CallKind.LOOK}),
         ]
         self._server = HTTPServer(Application(routes, log_function=log_nothing))
         sockets, self._address = bind_address(self._address)
@@ -353,11 +353,11 @@
             CallKind.LOOK: self._hold,
         }
         status, body = await serves[record.kind](call)
-        reason = body.reason if isinstance(body, ClockAnswer) else ""
+        reason = body.reason if isinstance(body, ClockResponse) else ""
         self.on_call(replace(record, reason=reason))
         return status, body
 
-    async def _start_run(self, call: dict[str, Any]) -> tuple[int, ClockAnswer]:
+    async def _start_run(self, call: dict[str, Any]) -> tuple[int, ClockResponse]:
         if self._random.random() < self._faults.late_orders:
             self._spawn(self._start_late(call))
             await asyncio.sleep(UNANSWERED_S)
@@ -367,7 +367,7 @@
         await asyncio.sleep(self._random.uniform(*LATE_ORDER_S))
         self._carry_out(call)
 
-    def _carry_out(self, call: dict[str, Any]) -> tuple[int, ClockAnswer]:
+    def _carry_out(self, call: dict[str, Any]) -> tuple[int, ClockResponse]:
         order = Order(
             task=call["task"],
             run=call["run"],
@@ -405,7 +405,7 @@
         if self._is_down and not self.is_closed:
             self.start()
 
-    async def _stop_run(self, call: dict[str, Any]) -> tuple[int, ClockAnswer]:
+    async def _stop_run(self, call: dict[str, Any]) -> tuple[int, ClockResponse]:
         if self._random.random() < self._faults.lost_stops:
             await asyncio.sleep(UNANSWERED_S)
             return 503, self._make_answer("")
@@ -413,7 +413,7 @@
         reason = self._runs.stop(call["task"], call["run"], call["fence"], now=now)
         return (409 if reason else 200), self._make_answer(reason)
 
-    async def _hold(self, call: dict[str, Any]) -> tuple[int, ClockAnswer | HoldAnswer]:
+    async def _hold(self, call: dict[str, Any]) -> tuple[int, ClockResponse | HoldResponse]:
         until_ms = call.get("until_ms")
         reason = self._runs.hold(
             fence=call["fence"],
@@ -428,7 +428,7 @@
             await asyncio.sleep(LOOK_GRAIN_S)
             self._runs.advance(self._now())
         now = self._now()
-        return 200, HoldAnswer(
+        return 200, HoldResponse(
             clock_ms=round(now * 1000),
             born=self._told_born,
             running=tuple(
@@ -438,8 +438,8 @@
             ended=tuple((*end, "") for end in self._runs.get_ended()),
         )
 
-    def _make_answer(self, reason: str) -> ClockAnswer:
-        return ClockAnswer(clock_ms=round(self._now() * 1000), reason=reason)
+    def _make_answer(self, reason: str) -> ClockResponse:
+        return ClockResponse(clock_ms=round(self._now() * 1000), reason=reason)
 
     def _spawn(self, coroutine: Any) -> asyncio.Task[None]:
         task: asyncio.Task[None] = asyncio.ensure_future(coroutine)
--- a/dalemast/platform/registration.py
+++ b/dalemast/platform/registration.py
@@ -15,8 +15,8 @@
 from dalemast.http.server import bind_address, log_nothing
 from dalemast.observability import Metrics, RefusalLog
 from dalemast.platform.foreign import ForeignInput, check_id, read_report
-from dalemast.platform.lines import Account, ReportLines
-from dalemast.platform.lives import make_life_id
+from dalemast.platform.incarnations import make_incarnation_id
+from dalemast.platform.report_sequences import Account, ReportLines
 from dalemast.platform.wire import Heartbeat, WorkerState
 from dalemast.settings import FleetAgentSettings
 
@@ -114,7 +114,7 @@
             address=self._settings.worker.address,
             data_centre=self._settings.data_centre,
         )
-        life = _make_life(make_life_id(worker_id, beat.born), beat)
+        life = _make_life(make_incarnation_id(worker_id, beat.born), beat)
         account = Account(service=life.service, capacity=life.capacity, labels=life.labels)
         is_news = self._lines.take(
             life.id, account, beat.seq, is_leaving=life.is_leaving, now=clock.monotonic()
--- a/dalemast/platform/lines.py
+++ b/dalemast/platform/report_sequences.py
@@ -18,7 +18,7 @@
 
 from dalemast.core.workloads import Resources
 from dalemast.platform.foreign import Fault, ForeignInput
-from dalemast.platform.lives import read_life_id
+from dalemast.platform.incarnations import parse_incarnation_id
 
 __all__ = ["Account", "ReportLine", "ReportLines"]
 
@@ -212,7 +212,9 @@
 
         A goodbye does not tell which of them it is. Raises :class:`ForeignInput` if there is none.
         """
-        lives = [life_id for life_id in self._lines if read_life_id(life_id)[0] == worker_id]
+        lives = [
+            life_id for life_id in self._lines if parse_incarnation_id(life_id)[0] == worker_id
+        ]
         leaving = [life_id for life_id in lives if self._lines[life_id].is_leaving]
         if not leaving:
             raise ForeignInput(Fault.NOT_ANNOUNCED, "not leaving" if lives else "unknown")
@@ -223,10 +225,10 @@
 
         It is believed if it goes on, since those others may be another writer's.
         """
-        worker_id, born_ms = read_life_id(life_id)
+        worker_id, born_ms = parse_incarnation_id(life_id)
         if born_ms is not msgspec.UNSET:
             return
-        if not any(read_life_id(known)[0] == worker_id for known in self._lines):
+        if not any(parse_incarnation_id(known)[0] == worker_id for known in self._lines):
             return
         is_believed, self._unborn = count_rival(self._unborn, account, number, now=now)
         if not is_believed:
--- a/dalemast/platform/store.py
+++ b/dalemast/platform/store.py
@@ -23,7 +23,7 @@
     TableNews,
     find_last_key,
 )
-from dalemast.platform.wire import FeedAnswer, RowsAnswer, RowWrite, TransactionCall
+from dalemast.platform.wire import FeedResponse, RowsResponse, RowWrite, TransactionCall
 
 __all__ = ["PlatformStore"]
 
@@ -42,7 +42,7 @@
 GONE = 410
 
 
-Answer = TypeVar("Answer", RowsAnswer, FeedAnswer)
+Answer = TypeVar("Answer", RowsResponse, FeedResponse)
 
 
 class StoreUnavailable(Exception):
@@ -146,10 +146,10 @@
                 break
         return TableNews(rows=tuple(rows), version=first.ver, is_whole=True)
 
-    async def _read_page(self, table: str, first_key: str) -> RowsAnswer:
+    async def _read_page(self, table: str, first_key: str) -> RowsResponse:
         query = urlencode({"table": table, "part": "", "from": first_key})
         response = await self._request("GET", f"/v1/rows-get?{query}", READ_TIMEOUT_S)
-        return self._decode(table, response, RowsAnswer)
+        return self._decode(table, response, RowsResponse)
 
     async def _follow(self, table: str, version: int, wait_s: float) -> TableNews:
         """Return what has changed after a version; raises :class:`HistoryGone`."""
@@ -157,7 +157,7 @@
         response = await self._request("GET", f"/v1/rows-feed?{query}", wait_s + WAIT_SLACK_S)
         if response.status == GONE:
             raise HistoryGone
-        feed = self._decode(table, response, FeedAnswer)
+        feed = self._decode(table, response, FeedResponse)
         rows = self._reader.read_rows(table, feed.rows)
         return TableNews(rows=rows, version=max(version, feed.ver), is_whole=False)
 
--- a/dalemast/platform/wire.py
+++ b/dalemast/platform/wire.py
@@ -13,9 +13,9 @@
 __all__ = [
     "ConfigurationDocument",
     "EvacuationDocument",
-    "FeedAnswer",
+    "FeedResponse",
     "Heartbeat",
-    "HoldAnswer",
+    "HoldResponse",
     "HoldCall",
     "JobBody",
     "JobStateBody",
@@ -23,7 +23,7 @@
     "RouteBody",
     "RowBody",
     "RowKey",
-    "RowsAnswer",
+    "RowsResponse",
     "StartCall",
     "StepBody",
     "StopCall",
@@ -32,7 +32,7 @@
     "WorkerState",
 ]
 
-EXPECTED_LIFE_HEADER = "Dalemast-Expect-Instance"
+EXPECTED_INCARNATION_HEADER = "Dalemast-Expect-Instance"
 DEADLINE_HEADER = "Dalemast-Deadline-Ms"
 MAX_TEXT = 200
 """Characters of a name, address or label; keys of the store have as many bytes at most."""
@@ -168,7 +168,7 @@
     key: Text
 
 
-class RowsAnswer(Wire, frozen=True, kw_only=True):
+class RowsResponse(Wire, frozen=True, kw_only=True):
     """Rows as of one moment; ``ver`` is the store's newest version then.
 
     Each row is decoded by itself, since any of them may be another writer's.
@@ -179,7 +179,7 @@
     ver: Version
 
 
-class FeedAnswer(Wire, frozen=True, kw_only=True):
+class FeedResponse(Wire, frozen=True, kw_only=True):
     """Rows that changed; the next call continues from ``ver``."""
 
     rows: tuple[msgspec.Raw, ...] = ()
@@ -266,7 +266,7 @@
     wait_ms: int | None = None
 
 
-class HoldAnswer(Wire, frozen=True, kw_only=True):
+class HoldResponse(Wire, frozen=True, kw_only=True):
     """``running``: task, run, saved progress, percent. ``ended``: number, task, run, how, saved.
 
     ``born`` tells whose lists these are, as in :class:`Heartbeat`.
@@ -278,7 +278,7 @@
     ended: tuple[tuple[Any, ...], ...] = ()
 
 
-class ClockAnswer(Wire, frozen=True, kw_only=True):
+class ClockResponse(Wire, frozen=True, kw_only=True):
     """What every answer of a worker carries; ``reason`` says why it rejected a call."""
 
     clock_ms: float | None = None
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -33,12 +33,12 @@
 from dalemast.http.direct import DirectClient, Greeting
 from dalemast.http.messages import HttpFailure, JsonResponse
 from dalemast.observability import log_event
-from dalemast.platform.lives import read_life_id
+from dalemast.platform.incarnations import parse_incarnation_id
 from dalemast.platform.wire import (
-    EXPECTED_LIFE_HEADER,
-    ClockAnswer,
-    HoldAnswer,
+    EXPECTED_INCARNATION_HEADER,
+    ClockResponse,
     HoldCall,
+    HoldResponse,
     StartCall,
     StopCall,
 )
@@ -48,7 +48,7 @@
 
 START_PATH = "/v1/run-start"
 STOP_PATH = "/v1/run-stop"
-LOOK_PATH = "/v1/hold"
+POLL_PATH = "/v1/hold"
 STOP_TIMEOUT_S = 0.15
 """A worker on the same host answers within a few milliseconds, also when this process is slowed."""
 START_TIMEOUTS_S = (0.04, 0.08, 0.15)
@@ -114,12 +114,12 @@
 
     def register(self, life: WorkerIncarnation) -> None:
         """Address all further calls to this life."""
-        worker_id, _ = read_life_id(life.id)
+        worker_id, _ = parse_incarnation_id(life.id)
         if self._life_id:
             # Bars what was said to an earlier life under this id and arrives only now.
             self._fence += 1
         self._life_id = life.id
-        self._headers = {EXPECTED_LIFE_HEADER: worker_id}
+        self._headers = {EXPECTED_INCARNATION_HEADER: worker_id}
         self._open_clients()
         self._clock = LeastLead(drift=WORKER_CLOCK_ERROR)
         self._ends_seen = 0
@@ -205,7 +205,7 @@
         try:
             response = await self._looks.request(
                 "POST",
-                LOOK_PATH,
+                POLL_PATH,
                 body=call,
                 headers=headers,
                 timeout_s=plan.wait_s + plan.slack_s,
@@ -244,7 +244,7 @@
 
     def _make_greeting(self) -> Greeting | None:
         """Return a look that neither renews a lease nor takes note of ends, if lives share ids."""
-        _, born_ms = read_life_id(self._life_id)
+        _, born_ms = parse_incarnation_id(self._life_id)
         if born_ms is msgspec.UNSET:
             return None
         headers = self._headers
@@ -255,11 +255,11 @@
             if response.status != 200:
                 self._read_start(response, headers)
                 raise HttpFailure(f"status {response.status}", is_unreachable=False)
-            if response.decode(HoldAnswer).born != born_ms:
+            if response.decode(HoldResponse).born != born_ms:
                 raise OtherLife
 
         call = HoldCall(fence=self._fence, ends_seen=0)
-        return Greeting(path=LOOK_PATH, body=call, headers=headers, accept=accept)
+        return Greeting(path=POLL_PATH, body=call, headers=headers, accept=accept)
 
     def _to_worker_ms(self, at: float) -> int:
         """Return a moment in milliseconds of the worker's clock, no later than it truly is."""
@@ -281,8 +281,8 @@
         return REJECTIONS.get(answer.reason, StartOutcome.REJECTED)
 
     def _read_look(self, response: JsonResponse, asked_at: float) -> PollResult:
-        answer = response.decode(HoldAnswer)
-        _, born_ms = read_life_id(self._life_id)
+        answer = response.decode(HoldResponse)
+        _, born_ms = parse_incarnation_id(self._life_id)
         if answer.born != born_ms:
             raise WorkerReplaced("another life answers")
         self._follow_clock(answer.clock_ms)
@@ -305,13 +305,13 @@
         log_event("worker:fence-raised", fence=self._fence)
 
 
-def _decode_clock(response: JsonResponse) -> ClockAnswer:
+def _decode_clock(response: JsonResponse) -> ClockResponse:
     try:
-        answer = response.decode(ClockAnswer)
+        answer = response.decode(ClockResponse)
     except msgspec.MsgspecError:
         # Rejections such as 429 may come without a body; the status says what matters.
-        return ClockAnswer()
-    assert isinstance(answer, ClockAnswer)
+        return ClockResponse()
+    assert isinstance(answer, ClockResponse)
     return answer
 
 
--- a/tests/emulator/test_fates.py
+++ b/tests/emulator/test_fates.py
@@ -9,7 +9,7 @@
 
 from dalemast.emulator import CallFates, CallRecord, EmulatedWorker, Fate
 from dalemast.http.client import HttpFailure, JsonClient
-from dalemast.platform.worker import LOOK_PATH, START_PATH, STOP_PATH
+from dalemast.platform.worker import POLL_PATH, START_PATH, STOP_PATH
 from tests.base import AsyncTestCase, wait_until
 
 TASK = "00ab.0.0.0"
@@ -70,7 +70,7 @@
 
     async def look(self) -> dict[str, Any]:
         """Look at the worker without renewing its lease."""
-        url = f"http://{self.worker.address}{LOOK_PATH}"
+        url = f"http://{self.worker.address}{POLL_PATH}"
         response = await self.client.request("POST", url, body={"fence": 1})
         return dict(response.decode(dict[str, Any]))
 
@@ -158,7 +158,7 @@
             self.assertEqual(200, await self.start(lease_s=1.0))
             until_ms = await self.find_lease_end_ms(LEASE_S)
             self.worker.set_faults(looks=CallFates(unanswered=1.0))
-            self.assertIsNone(await self.call(LOOK_PATH, until_ms=until_ms))
+            self.assertIsNone(await self.call(POLL_PATH, until_ms=until_ms))
             await asyncio.sleep(1.0)
             self.assertEqual({TASK}, self.worker.active_tasks)
 
@@ -169,7 +169,7 @@
             self.assertEqual(200, await self.start(lease_s=1.0))
             until_ms = await self.find_lease_end_ms(LEASE_S)
             self.worker.set_faults(looks=CallFates(lost=1.0))
-            self.assertIsNone(await self.call(LOOK_PATH, until_ms=until_ms))
+            self.assertIsNone(await self.call(POLL_PATH, until_ms=until_ms))
             await wait_until(lambda: not self.worker.active_tasks, "the lease to lapse")
 
         self.check(scenario)
--- a/tests/fleet/test_strays.py
+++ b/tests/fleet/test_strays.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from dalemast.emulator import CallFates, EmulatedWorker
-from dalemast.platform.wire import EXPECTED_LIFE_HEADER
+from dalemast.platform.wire import EXPECTED_INCARNATION_HEADER
 from dalemast.platform.worker import START_PATH
 from tests.base import AsyncTestCase, wait_until
 from tests.fleet.base import LocalFleet, make_text
@@ -72,6 +72,6 @@
                 "until_ms": round((worker._now() + 0.5) * 1000),
                 "fence": fence,
             },
-            headers={EXPECTED_LIFE_HEADER: worker.life_id},
+            headers={EXPECTED_INCARNATION_HEADER: worker.life_id},
         )
         self.assertIn(STRAY, worker.active_tasks)
--- a/tests/histories/worker.py
+++ b/tests/histories/worker.py
@@ -15,9 +15,9 @@
 from dalemast.core.supervision import WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.emulator.runs import EmulatedRuns, Order
-from dalemast.platform.lives import make_life_id
-from dalemast.platform.wire import EXPECTED_LIFE_HEADER, ClockAnswer, HoldAnswer
-from dalemast.platform.worker import LOOK_PATH, START_PATH, STOP_PATH
+from dalemast.platform.incarnations import make_incarnation_id
+from dalemast.platform.wire import EXPECTED_INCARNATION_HEADER, ClockResponse, HoldResponse
+from dalemast.platform.worker import POLL_PATH, START_PATH, STOP_PATH
 from tests.histories.base import CallEffect, CallFault
 from tests.histories.clock import EPOCH_S, ModelHost, Timeline
 from tests.histories.network import End
@@ -34,7 +34,7 @@
 """How often a waiting answer looks for an end."""
 ANSWER_S = (0.0003, 0.002)
 """Bounds on how long a sound worker takes for an answer."""
-KINDS = {START_PATH: "start", STOP_PATH: "stop", LOOK_PATH: "hold"}
+KINDS = {START_PATH: "start", STOP_PATH: "stop", POLL_PATH: "hold"}
 CLOCK_AHEAD_S = 5_000.0
 """What the worker's clock shows more than the agent's at the beginning. A later life under the same
 id begins at 0, so that a moment on an earlier one's clock is far ahead."""
@@ -109,7 +109,7 @@
     def life(self) -> WorkerIncarnation:
         """Its account of itself."""
         return WorkerIncarnation(
-            id=make_life_id(self._wire_id, self._born),
+            id=make_incarnation_id(self._wire_id, self._born),
             service=SERVICE,
             data_centre=DATA_CENTRE,
             capacity=Resources(cpu=self._cpu, memory_mb=65_536),
@@ -188,8 +188,8 @@
         path = lines[0].split(" ")[1]
         headers = dict(line.split(": ", 1) for line in lines[1:])
         call = msgspec.json.decode(body)
-        if headers.get(EXPECTED_LIFE_HEADER, self._wire_id) != self._wire_id:
-            _answer(end, 421, ClockAnswer())
+        if headers.get(EXPECTED_INCARNATION_HEADER, self._wire_id) != self._wire_id:
+            _answer(end, 421, ClockResponse())
             return
         kind = KINDS[path]
         effect, delay_s = self._choose_effect(kind)
@@ -199,7 +199,7 @@
         if effect is CallEffect.LOST:
             return
         if effect is CallEffect.REJECTED:
-            _answer(end, 503, ClockAnswer())
+            _answer(end, 503, ClockResponse())
             return
         if effect is CallEffect.NO_ROOM and not self._is_there(call):
             reason = self._renew(call) or "room"
@@ -370,7 +370,7 @@
             )
             return
         now = self._now()
-        answer = HoldAnswer(
+        answer = HoldResponse(
             clock_ms=round(now * 1000),
             born=self._born,
             running=tuple(
@@ -381,8 +381,8 @@
         )
         self._answer_soon(end, 200, answer, effect=effect, delay_s=delay_s)
 
-    def _make_answer(self, reason: str) -> ClockAnswer:
-        return ClockAnswer(clock_ms=round(self._now() * 1000), reason=reason)
+    def _make_answer(self, reason: str) -> ClockResponse:
+        return ClockResponse(clock_ms=round(self._now() * 1000), reason=reason)
 
 
 def _answer(end: End, status: int, answer: Any) -> None:
--- a/tests/platform/test_foreign_row_properties.py
+++ b/tests/platform/test_foreign_row_properties.py
@@ -18,7 +18,7 @@
 from dalemast.observability import Metrics
 from dalemast.platform.foreign import read_json
 from dalemast.platform.rows import RowReader, TableNews
-from dalemast.platform.wire import FeedAnswer
+from dalemast.platform.wire import FeedResponse
 from tests.fleet.base import make_configuration
 
 EXAMPLES = 400
@@ -199,7 +199,7 @@
     def read(self, table: str, raw_rows: Iterable[bytes], *, version: int, is_whole: bool) -> None:
         """Take in one answer of the store."""
         body = b'{"rows":[%b],"ver":%d}' % (b",".join(raw_rows), version)
-        feed = read_json(body, FeedAnswer)
+        feed = read_json(body, FeedResponse)
         rows = self._rows.read_rows(table, feed.rows)
         news = TableNews(rows=rows, version=feed.ver, is_whole=is_whole)
         if table == ENTRIES:
--- a/tests/platform/test_lines.py
+++ b/tests/platform/test_report_sequences.py
@@ -8,7 +8,7 @@
 
 from dalemast.core.workloads import Resources
 from dalemast.platform.foreign import Fault, ForeignInput
-from dalemast.platform.lines import MAX_LINES, Account, ReportLine, ReportLines
+from dalemast.platform.report_sequences import MAX_LINES, Account, ReportLine, ReportLines
 
 PAUSE_S = 1.5
 """Pause between a worker's reports; from the platform."""
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -19,7 +19,7 @@
 from dalemast.fleet.base import WorkerGone, WorkerReplaced, WorkerUnanswered
 from dalemast.http.client import HttpFailure, JsonResponse
 from dalemast.platform import PlatformWorkerDriver
-from dalemast.platform.wire import EXPECTED_LIFE_HEADER, StartCall
+from dalemast.platform.wire import EXPECTED_INCARNATION_HEADER, StartCall
 from tests.base import AsyncTestCase
 from tests.fleet.base import find_address, make_text
 
@@ -175,7 +175,7 @@
         self._then = then
 
     async def request(self, *args: object, headers: dict[str, str], **kwargs: object) -> None:
-        self.lives.append(headers[EXPECTED_LIFE_HEADER])
+        self.lives.append(headers[EXPECTED_INCARNATION_HEADER])
         if len(self.lives) == 1:
             self._then()
         raise HttpFailure("no answer", is_unreachable=False)
