--- a/dalemast/platform/__init__.py
+++ b/dalemast/platform/__init__.py
@@ -1,6 +1,6 @@
-"""The adapter to the users' platform: translates its words and calls, and decides nothing.
+"""Adapter to the hosting platform: translates its messages and calls, without any policy.
 
-Nothing outside this package knows the platform's names; settings name its classes by dotted path.
+Only this package uses the platform's names. Settings refer to its classes by dotted path.
 """
 
 from dalemast.platform.ingress import PlatformIngress
--- a/dalemast/platform/foreign.py
+++ b/dalemast/platform/foreign.py
@@ -1,7 +1,8 @@
-"""Tells what is ours to use from what another writer sends or leaves in the store.
+"""Decodes and validates everything that is received from outside.
 
-Everything from outside is read by one of the functions here. What can't be used raises
-:class:`ForeignInput` with the reason; whoever asked goes on with what it knew before.
+Processes other than this host's worker may send reports under its id, and others than operators and
+entries may write rows to the store. Input that is invalid, or not meant for this process, raises
+:class:`ForeignInput`. Callers then keep their previous state.
 """
 
 from __future__ import annotations
@@ -18,32 +19,33 @@
 
 __all__ = ["Fault", "ForeignInput", "check_id", "read_json", "read_report", "read_value"]
 
-MISSING_FIELD = "Object missing required field"
-"""How msgspec begins its message when a field is missing."""
+MISSING_FIELD_PREFIX = "Object missing required field"
+"""Prefix of msgspec's error message for a missing field."""
 WORKER_ID = re.compile(r"[!-~]{1,200}\Z")
-"""Ids are sent in a header with every call to the worker, so they hold no blanks or line ends."""
+"""Pattern of worker ids. They are sent in a header with every call, so spaces and line ends are
+invalid."""
 
 
 class Fault(enum.Enum):
-    """Why something is not used. The values are the codes in logs and counters."""
+    """Reason why input is rejected. The values are the codes in logs and counters."""
 
     UNREADABLE = "unreadable"
-    """No JSON, or no base64 of it."""
+    """Neither JSON nor JSON encoded in base64."""
     FIELD_MISSING = "field-missing"
     FIELD_INVALID = "field-invalid"
-    """A field of another type, a word that is not known, a number out of range."""
-    OTHER_PLACE = "other-place"
-    """It tells of another host or data centre, or of one that does not exist."""
-    OTHER_ACCOUNT = "other-account"
-    """It contradicts what the known life has said of itself."""
+    """A field has the wrong type, an unknown value, or a number out of range."""
+    WRONG_LOCATION = "other-place"
+    """The input refers to another host, data centre or table, or to an unknown data centre."""
+    PROPERTIES_CHANGED = "other-account"
+    """A report contradicts the known properties of its incarnation."""
     NUMBER_JUMPED = "number-jumped"
-    """Its number is too far ahead of the known life's."""
-    NOT_ANNOUNCED = "not-announced"
-    """It ends a life that never said that it leaves."""
+    """The number of a report is too far ahead of the last one accepted."""
+    UNANNOUNCED = "not-announced"
+    """A deregistration of a worker that has not reported that it is leaving."""
 
 
 class ForeignInput(Exception):
-    """Something is not ours to use. ``detail`` names the field or value."""
+    """Input from outside is rejected. ``detail`` names the field or value at fault."""
 
     def __init__(self, fault: Fault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
@@ -56,7 +58,7 @@
     try:
         return msgspec.json.decode(data, type=message_type)
     except msgspec.ValidationError as error:
-        is_missing = str(error).startswith(MISSING_FIELD)
+        is_missing = str(error).startswith(MISSING_FIELD_PREFIX)
         fault = Fault.FIELD_MISSING if is_missing else Fault.FIELD_INVALID
         raise ForeignInput(fault, str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
@@ -73,16 +75,16 @@
 
 
 def read_report(data: bytes, *, address: str, data_centre: str) -> Heartbeat:
-    """Decode a report of the worker that is called at ``address``; raises :class:`ForeignInput`."""
-    beat: Heartbeat = read_json(data, Heartbeat)
-    if beat.address != address:
-        raise ForeignInput(Fault.OTHER_PLACE, f"address {beat.address}")
-    if beat.zone != data_centre:
-        raise ForeignInput(Fault.OTHER_PLACE, f"data centre {beat.zone}")
-    return beat
-
-
-def check_id(life_id: str) -> None:
-    """Raise :class:`ForeignInput` unless this can be a worker's id."""
-    if WORKER_ID.match(life_id) is None:
+    """Decode a report of the worker that listens at ``address``; raises :class:`ForeignInput`."""
+    heartbeat: Heartbeat = read_json(data, Heartbeat)
+    if heartbeat.address != address:
+        raise ForeignInput(Fault.WRONG_LOCATION, f"address {heartbeat.address}")
+    if heartbeat.zone != data_centre:
+        raise ForeignInput(Fault.WRONG_LOCATION, f"data centre {heartbeat.zone}")
+    return heartbeat
+
+
+def check_id(worker_id: str) -> None:
+    """Raise :class:`ForeignInput` unless ``worker_id`` is valid."""
+    if WORKER_ID.match(worker_id) is None:
         raise ForeignInput(Fault.FIELD_INVALID, "id")
--- a/dalemast/platform/ingress.py
+++ b/dalemast/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Serves callers as the platform's pages say, and the platform's question for readiness."""
+"""HTTP servers for callers and for the platform's readiness probe."""
 
 from __future__ import annotations
 
@@ -38,14 +38,14 @@
 
 READY_PATH = "/v1/ready"
 MAX_BODY_BYTES = 262_144
-"""The configuration's bound on a body; larger ones are cut off while they are read."""
-DEFAULT_PATIENCE_S = 30.0
-"""Patience of a caller that names none; it is used for nothing but the log."""
+"""Maximum size of a request body. Requests with larger ones are aborted while they are read."""
+DEFAULT_TIMEOUT_S = 30.0
+"""Timeout of a caller that sends none, in seconds. Only used for logging."""
 UNSUPPORTED_RETRY_S = 5.0
-"""When a caller may ask again for something that this version does not serve."""
+"""Pause before a retry of a request that this version does not support, in seconds."""
 
 SERVER_SETTING = "caller_server"
-"""Name of the application's setting by which handlers reach their server."""
+"""Name of the application setting that holds the server, for its handlers."""
 
 _JOB_ID = re.compile(r"[0-9a-f]{16}\Z")
 _encode = msgspec.json.Encoder().encode
@@ -53,27 +53,27 @@
 
 
 class JobHandler(RequestHandler):
-    """Every method and path of the callers' address."""
+    """Handler of all requests to the callers' address."""
 
     def initialize(self, jobs: Jobs) -> None:
-        """Take what the routes give."""
+        """Receive the arguments of the route."""
         self._jobs = jobs
         self._job_id = ""
 
     def prepare(self) -> None:
-        """Note that the connection is in use."""
+        """Record that the connection is in use."""
         self.settings[SERVER_SETTING].note_request(self.request.server_connection)
 
     def set_default_headers(self) -> None:
-        """Say nothing of the server's software."""
+        """Replace Tornado's default headers, which reveal the server's version."""
         self.set_header("Server", "dalemast")
         self.set_header("Content-Type", "application/json")
 
     def compute_etag(self) -> None:
-        """Make no entity tags: no answer is read twice."""
+        """Disable entity tags, since no response is requested twice."""
 
     async def post(self) -> None:
-        """Run a job and answer with its end."""
+        """Run a job and respond with its outcome."""
         queue = self._find_queue()
         request = self._parse(queue)
         self._job_id = request.id
@@ -81,10 +81,13 @@
             outcome = await self._jobs.run(request)
         finally:
             self._job_id = ""
-        self._answer(outcome)
+        self._send_outcome(outcome)
 
     def get(self) -> None:
-        """Answer a queue's count of waiting jobs; no job is known after its answer."""
+        """Return a queue's number of waiting jobs, or a job's state.
+
+        Jobs are not kept after their response, so their state is always unknown.
+        """
         queue = self._find_queue()
         if self.request.path == queue.prefix:
             self._send(200, WaitingBody(waiting=0))
@@ -92,26 +95,26 @@
             self._send(410, JobStateBody(state="unknown"))
 
     def delete(self) -> None:
-        """Cancel a job: only kept ones can be cancelled, and none is kept."""
+        """Respond that the job is unknown: jobs are not kept, so there is none to cancel."""
         self._find_queue()
         self._send(410, JobStateBody(state="unknown"))
 
     def on_connection_close(self) -> None:
-        """Cancel a job whose caller has hung up."""
+        """Cancel a job whose caller has closed the connection."""
         if self._job_id:
             self._jobs.leave(self._job_id)
 
     def write_error(self, status_code: int, **kwargs: object) -> None:
-        """Answer with the typed error that was raised."""
+        """Respond with the :class:`DalemastError` that was raised, or a generic error."""
         error = kwargs.get("exc_info", (None, None, None))[1]  # type: ignore[index]
         if not isinstance(error, DalemastError):
-            self._send(status_code, RejectionBody(error="the request broke off", code="E0000"))
+            self._send(status_code, RejectionBody(error="request failed", code="E0000"))
             return
         log_event("request:rejected", path=self.request.path, code=error.code, why=error.message)
         self._reject(error)
 
     def log_exception(self, typ: object, value: object, tb: object) -> None:
-        """Log faults of our own only; typed errors are answers."""
+        """Log unexpected exceptions only; a :class:`DalemastError` is a regular response."""
         if not isinstance(value, DalemastError):
             super().log_exception(typ, value, tb)  # type: ignore[arg-type]
 
@@ -122,27 +125,29 @@
     def _parse(self, queue: Queue) -> JobRequest:
         job_id = self.request.path[len(queue.prefix) :]
         if not _JOB_ID.match(job_id):
-            raise JobShapeInvalid("the path does not end in 16 hex digits", place="path")
+            raise JobShapeInvalid(
+                "the path does not end with a job id of 16 hexadecimal digits", place="path"
+            )
         try:
             body = _job_decoder.decode(self.request.body)
         except msgspec.MsgspecError as error:
             raise JobShapeInvalid(str(error), place="body") from error
-        _check_served(body, queue)
+        _check_supported(body, queue)
         return JobRequest(
             id=job_id,
             queue=queue,
             payload=body.payload,
             steps=tuple(_make_step(step, number) for number, step in enumerate(body.steps)),
-            timeout_s=self._get_patience_s(),
+            timeout_s=self._get_timeout_s(),
         )
 
-    def _get_patience_s(self) -> float:
+    def _get_timeout_s(self) -> float:
         try:
             return float(self.request.headers.get(DEADLINE_HEADER, "")) / 1000
         except ValueError:
-            return DEFAULT_PATIENCE_S
+            return DEFAULT_TIMEOUT_S
 
-    def _answer(self, outcome: JobOutcome) -> None:
+    def _send_outcome(self, outcome: JobOutcome) -> None:
         match outcome:
             case JobDone():
                 self._send(200, JobStateBody(state=outcome.state.value))
@@ -150,7 +155,7 @@
                 message = f"not run: {outcome.cause}"
                 self._reject(JobNotTaken(message, retry_after_s=outcome.retry_after_s))
             case JobDropped():
-                # Not 503: the job may have run in part, so "not run" would be untrue.
+                # Not a rejection with status 503, since part of the job may have run.
                 self._reject(JobGivenUp(f"given up: {outcome.cause}"))
 
     def _reject(self, error: DalemastError) -> None:
@@ -170,20 +175,20 @@
 
 
 class ReadyHandler(RequestHandler):
-    """Whether new connections should come here."""
+    """Handler of the readiness probe, which decides on new connections."""
 
     def initialize(self, jobs: Jobs) -> None:
-        """Take what the routes give."""
+        """Receive the arguments of the route."""
         self._jobs = jobs
 
     def get(self) -> None:
-        """Answer by the status alone; nobody reads the body."""
+        """Report readiness by the status; the body is not read."""
         self.set_status(200 if self._jobs.is_ready else 503)
         self.finish(b"{}")
 
 
 class PlatformIngress(BaseIngress):
-    """Callers and readiness, on two addresses."""
+    """Servers for callers and for the readiness probe, on two addresses."""
 
     def __init__(self, *, settings: FleetEntrySettings, jobs: Jobs) -> None:
         super().__init__(settings=settings, jobs=jobs)
@@ -197,20 +202,20 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections of callers are open."""
+        """Number of open connections of callers."""
         return self._callers.open_connections
 
     def close_idle(self) -> int:
-        """Close the callers' connections that wait for a further request."""
+        """Close the idle connections of callers; return their number."""
         return self._callers.close_idle()
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         _listen(self._callers, self._settings.callers.address)
         _listen(self._readiness, self._settings.readiness.address)
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Stop listening and close all connections."""
         for server in (self._callers, self._readiness):
             server.stop()
             await server.close_all_connections()
@@ -221,26 +226,26 @@
     server.add_sockets(sockets)
 
 
-def _check_served(body: JobBody, queue: Queue) -> None:
-    """Raise :class:`JobNotSupported` for what this version does not serve."""
-    unserved = ""
+def _check_supported(body: JobBody, queue: Queue) -> None:
+    """Raise :class:`JobNotSupported` if the job needs a feature that is not supported."""
+    unsupported = ""
     if not body.is_unkept:
-        unserved = "jobs that are kept"
+        unsupported = "jobs without best_effort"
     elif body.times:
-        unserved = "jobs that run at set times"
+        unsupported = "jobs with times"
     elif queue.needs_advice:
-        unserved = "queues whose workers need advice"
+        unsupported = "queues with advice"
     elif any(step.is_gang or step.is_one_rack for step in body.steps):
-        unserved = "tasks that run only together"
+        unsupported = "steps with gang or same_rack"
     elif any(step.is_lasting or step.fills for step in body.steps):
-        unserved = "tasks that last or fill"
-    if unserved:
-        raise JobNotSupported(f"{unserved} are not served", retry_after_s=UNSUPPORTED_RETRY_S)
+        unsupported = "steps with daemon or fills"
+    if unsupported:
+        raise JobNotSupported(f"{unsupported} are not supported", retry_after_s=UNSUPPORTED_RETRY_S)
 
 
 def _make_step(step: StepBody, number: int) -> StepRequest:
     if step.count < 1 or any(not 0 <= earlier < number for earlier in step.after):
-        raise JobShapeInvalid("a step has no tasks or waits for a later one", place="steps")
+        raise JobShapeInvalid("a step has no tasks or depends on a later step", place="steps")
     return StepRequest(
         count=step.count,
         resources=Resources(cpu=step.cpu, memory_mb=step.memory_mb, gpu=step.gpu),
--- a/dalemast/platform/registration.py
+++ b/dalemast/platform/registration.py
@@ -1,4 +1,4 @@
-"""Takes the heartbeats of the worker on this host, and no others."""
+"""HTTP server that receives the reports of the worker on this host."""
 
 from __future__ import annotations
 
@@ -16,62 +16,64 @@
 from dalemast.observability import Metrics, RefusalLog
 from dalemast.platform.foreign import ForeignInput, check_id, read_report
 from dalemast.platform.incarnations import make_incarnation_id
-from dalemast.platform.report_sequences import Account, ReportLines
+from dalemast.platform.report_sequences import ReportSequences, WorkerProperties
 from dalemast.platform.wire import Heartbeat, WorkerState
 from dalemast.settings import FleetAgentSettings
 
 __all__ = ["FOREIGN_REPORT", "PlatformRegistration"]
 
 BACKLOG = 64
-"""Connections that may wait to be accepted: one worker reports here."""
+"""Maximum number of connections waiting to be accepted. Only one worker reports here."""
 MAX_REPORT_BYTES = 64 * 1024
-"""Longest report that is read; a worker's has some 250 bytes. The smallest agents have 168 MB."""
+"""Maximum size of a report. Bounds the memory that a foreign request can take."""
 FOREIGN_REPORT = "report:foreign"
-"""Log line of a report that is not the worker's, and with dots the beginning of its counters."""
+"""Log event of a rejected report. With a dot in place of the colon, the prefix of its counters."""
 
 
 class BaseReportHandler(RequestHandler, abc.ABC):
-    """What workers send. Only what is taken is acknowledged."""
+    """Base handler of worker reports. Rejected reports are answered with status 400."""
 
     def initialize(self, registration: PlatformRegistration) -> None:
-        """Take what the routes give."""
+        """Receive the arguments of the route."""
         self._registration = registration
 
     def decode_argument(self, value: bytes, name: str | None = None) -> str:
-        """Return an id also if it is no UTF-8: such a one is refused like any other."""
+        """Decode a worker id, replacing invalid UTF-8, so that validation rejects it later."""
         return value.decode(errors="replace")
 
-    def post(self, life_id: str) -> None:
-        """Take it in."""
+    def post(self, worker_id: str) -> None:
+        """Handle a report."""
         try:
-            self._take(life_id)
+            self._handle(worker_id)
         except ForeignInput as refusal:
-            self._registration.note_foreign(life_id, refusal, sender=self.request.remote_ip or "")
+            self._registration.record_foreign(
+                worker_id, refusal, sender=self.request.remote_ip or ""
+            )
             self.set_status(400)
         self.set_header("Content-Type", "application/json")
         self.finish(b"{}")
 
     @abc.abstractmethod
-    def _take(self, life_id: str) -> None:
-        """Take it in, or raise :class:`ForeignInput`."""
+    def _handle(self, worker_id: str) -> None:
+        """Handle a report; raises :class:`ForeignInput` if it is rejected."""
 
 
 class HeartbeatHandler(BaseReportHandler):
-    """A worker's report. Reports that arrive out of order are passed over by their number."""
+    """Handler of heartbeats. Those that arrive out of order are ignored by their number."""
 
-    def _take(self, life_id: str) -> None:
-        self._registration.take(life_id, self.request.body)
+    def _handle(self, worker_id: str) -> None:
+        self._registration.handle_report(worker_id, self.request.body)
 
 
 class DeregisterHandler(BaseReportHandler):
-    """A worker's word that it ends."""
+    """Handler of deregistrations."""
 
-    def _take(self, life_id: str) -> None:
-        self._registration.take_end(life_id)
+    def _handle(self, worker_id: str) -> None:
+        self._registration.handle_deregistration(worker_id)
 
 
 class PlatformRegistration(BaseRegistration):
-    """The address where the worker on this host reports."""
+    """Server to which the worker on this host reports."""
 
     def __init__(
         self,
@@ -93,65 +95,71 @@
             max_body_size=MAX_REPORT_BYTES,
             max_buffer_size=2 * MAX_REPORT_BYTES,
         )
-        self._lines = ReportLines()
+        self._sequences = ReportSequences()
         self._refusals = RefusalLog(event=FOREIGN_REPORT, metrics=self._metrics)
 
     def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         sockets, _ = bind_address(self._settings.registration.address, backlog=BACKLOG)
         self._server.add_sockets(sockets)
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
 
-    def take(self, worker_id: str, data: bytes) -> None:
-        """Pass a report on unless a newer one has arrived; raises :class:`ForeignInput`."""
+    def handle_report(self, worker_id: str, data: bytes) -> None:
+        """Pass a report to the observer unless it is outdated; raises :class:`ForeignInput`."""
         check_id(worker_id)
-        beat = read_report(
+        heartbeat = read_report(
             data,
             address=self._settings.worker.address,
             data_centre=self._settings.data_centre,
         )
-        life = _make_life(make_incarnation_id(worker_id, beat.born), beat)
-        account = Account(service=life.service, capacity=life.capacity, labels=life.labels)
-        is_news = self._lines.take(
-            life.id, account, beat.seq, is_leaving=life.is_leaving, now=clock.monotonic()
+        incarnation = _make_incarnation(make_incarnation_id(worker_id, heartbeat.born), heartbeat)
+        properties = WorkerProperties(
+            service=incarnation.service, capacity=incarnation.capacity, labels=incarnation.labels
         )
-        if not is_news:
+        is_newer = self._sequences.accept(
+            incarnation.id,
+            properties,
+            heartbeat.seq,
+            is_leaving=incarnation.is_leaving,
+            now=clock.monotonic(),
+        )
+        if not is_newer:
             return
-        if self._lines.is_replaced(life.id):
-            # What was said under this id before was another writer's, a goodbye among it.
-            self._observer.restore_incarnation(life.id)
-        self._observer.register_incarnation(life)
-
-    def take_end(self, worker_id: str) -> None:
-        """Pass on that a worker ends which has said that it leaves; or :class:`ForeignInput`."""
-        life_id = self._lines.find_leaving(worker_id)
-        self._lines.note_end(life_id)
-        self._observer.lose_incarnation(life_id)
-
-    def note_foreign(self, life_id: str, refusal: ForeignInput, *, sender: str) -> None:
-        """Count and log what was not taken. ``sender`` is the IP number that it came from."""
+        if self._sequences.is_restored(incarnation.id):
+            # The earlier reports under this id, or its deregistration, were foreign.
+            self._observer.restore_incarnation(incarnation.id)
+        self._observer.register_incarnation(incarnation)
+
+    def handle_deregistration(self, worker_id: str) -> None:
+        """End a worker that has reported that it is leaving; raises :class:`ForeignInput`."""
+        incarnation_id = self._sequences.find_leaving_incarnation(worker_id)
+        self._sequences.record_deregistration(incarnation_id)
+        self._observer.lose_incarnation(incarnation_id)
+
+    def record_foreign(self, worker_id: str, refusal: ForeignInput, *, sender: str) -> None:
+        """Count and log a rejected report. ``sender`` is the IP address that sent it."""
         self._refusals.note(
-            writer=life_id, reason=refusal.fault.value, detail=refusal.detail, sender=sender
+            writer=worker_id, reason=refusal.fault.value, detail=refusal.detail, sender=sender
         )
 
 
-def _make_life(life_id: str, beat: Heartbeat) -> WorkerIncarnation:
+def _make_incarnation(incarnation_id: str, heartbeat: Heartbeat) -> WorkerIncarnation:
     return WorkerIncarnation(
-        id=life_id,
-        service=beat.service,
-        data_centre=beat.zone,
+        id=incarnation_id,
+        service=heartbeat.service,
+        data_centre=heartbeat.zone,
         capacity=Resources(
-            cpu=beat.capacity.cpu,
-            memory_mb=beat.capacity.memory_mb,
-            gpu=beat.capacity.gpu,
+            cpu=heartbeat.capacity.cpu,
+            memory_mb=heartbeat.capacity.memory_mb,
+            gpu=heartbeat.capacity.gpu,
         ),
-        labels=frozenset(beat.labels),
-        is_leaving=beat.state is WorkerState.LEAVING,
-        remaining_s=_to_seconds(beat.remaining_ms),
+        labels=frozenset(heartbeat.labels),
+        is_leaving=heartbeat.state is WorkerState.LEAVING,
+        remaining_s=_to_seconds(heartbeat.remaining_ms),
     )
 
 
--- a/dalemast/platform/report_sequences.py
+++ b/dalemast/platform/report_sequences.py
@@ -1,13 +1,12 @@
-"""The reports of each life in their order, when another writer sends some under the same id.
+"""Separates a worker's reports from foreign reports under the same id.
 
-A life says the same of its service and labels for as long as it lasts, and its numbers rise by one
-a report. What does not go on from there is not taken, unless it proves to be the worker's: then it
-goes on by itself while the line that was believed has fallen silent. So a foreign report costs the
-worker nothing, and one that came first is believed for some reports only.
+An incarnation always reports the same service and labels, and its report numbers rise. Reports that
+do not continue the accepted sequence are rejected, unless they turn out to be the worker's own: a
+candidate sequence replaces the accepted one when it continues while the accepted one does not. A
+foreign report thus cannot displace the worker, and one that arrived first is soon replaced.
 
-Its capacity may change. Another one is believed with the second report that says so, a second
-or more later, with none in between that goes on with the known one: the worker's own reports
-contradict what another writer says of it.
+A changed capacity is accepted with the second report in a row that declares a change, a second or
+more after the first. The worker's own reports in between contradict a foreign one.
 """
 
 from __future__ import annotations
@@ -20,41 +19,41 @@
 from dalemast.platform.foreign import Fault, ForeignInput
 from dalemast.platform.incarnations import parse_incarnation_id
 
-__all__ = ["Account", "ReportLine", "ReportLines"]
+__all__ = ["WorkerProperties", "ReportSequence", "ReportSequences"]
 
-NUMBERS_AHEAD = 8
-"""How far a number may be ahead of the one before at once: reports that went to other processes."""
-NUMBERS_PER_S = 20
-"""How much further for each second of silence. A worker reports about every 1.5 s, and more often
-while a report stays unanswered."""
-RIVAL_REPORTS = 3
-"""Reports in a row after which a line replaces one that is silent meanwhile."""
+MAX_NUMBER_GAP = 8
+"""Maximum gap to the last accepted number when no time has passed. Numbers are missing when reports
+went to other processes."""
+MAX_NUMBERS_PER_S = 20
+"""Increase of the maximum gap for each second since the last accepted report. Covers the retries of
+unanswered reports."""
+CANDIDATE_REPORTS = 3
+"""Number of reports in a row after which a candidate replaces the accepted sequence."""
 RESIZE_REPORTS = 2
-"""Reports in a row after which another capacity is believed: within two pauses of some 1.5 s, where
-room that has shrunk counts 3 s and one pause later; from the platform."""
-RIVAL_S = 1.0
-"""Shortest time between the first and the last of them, so that a burst of late reports, delivered
-together, is not enough."""
-MAX_LINES = 32
-"""Lives that are remembered. A worker has few within one life of its agent; ids of another writer
-may be new each time."""
+"""Number of reports in a row after which a changed capacity is accepted."""
+MIN_CANDIDATE_S = 1.0
+"""Minimum time between the first and the last report of a candidate, in seconds. Prevents a burst
+of delayed reports from replacing the accepted sequence."""
+MAX_SEQUENCES = 32
+"""Maximum number of incarnations that are tracked. Bounds the memory that foreign reports with
+ever new ids can take."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Account:
-    """What a life says of itself; all but its capacity never changes."""
+class WorkerProperties:
+    """Properties that an incarnation reports. Only the capacity may change."""
 
     service: str
     capacity: Resources
     labels: frozenset[str]
 
-    def is_resized(self, known: Account) -> bool:
-        """Tell whether only the capacity differs from a known account."""
+    def is_resized(self, known: WorkerProperties) -> bool:
+        """Return whether the capacity, and nothing else, differs from the known properties."""
         is_same = (self.service, self.labels) == (known.service, known.labels)
         return is_same and self.capacity != known.capacity
 
-    def describe_change(self, known: Account) -> str:
-        """Return which parts differ from a known account, with what they are here and there."""
+    def describe_change(self, known: WorkerProperties) -> str:
+        """Describe the differences from the known properties."""
         pairs = {
             "service": (self.service, known.service),
             "capacity": (self.capacity, known.capacity),
@@ -65,179 +64,214 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Rival:
-    """Reports in a row that do not go on from the believed ones."""
+class CandidateSequence:
+    """Reports in a row that do not continue the accepted sequence."""
 
-    account: Account
+    properties: WorkerProperties
     number: int
     count: int
     since: float
 
 
-def count_rival(
-    rival: Rival | None, account: Account, number: int, *, now: float, needed: int = RIVAL_REPORTS
-) -> tuple[bool, Rival]:
-    """Note a report that does not go on from the believed ones; tell whether it is to be by now."""
-    if rival is None or rival.account != account or number <= rival.number:
-        return False, Rival(account=account, number=number, count=1, since=now)
-    count = rival.count + 1
-    known = Rival(account=account, number=number, count=count, since=rival.since)
-    return count >= needed and now - rival.since >= RIVAL_S, known
-
-
-class ReportLine:
-    """The reports of one life. Times are the agent's steady clock, in seconds."""
-
-    def __init__(self, *, account: Account, number: int, now: float) -> None:
-        self._rival: Rival | None = None
-        self._is_replaced = False
+def extend_candidate(
+    candidate: CandidateSequence | None,
+    properties: WorkerProperties,
+    number: int,
+    *,
+    now: float,
+    needed: int = CANDIDATE_REPORTS,
+) -> tuple[bool, CandidateSequence]:
+    """Add a report to a candidate; return whether it is to be accepted, and the new candidate.
+
+    A report that does not continue the candidate starts a new one.
+    """
+    if candidate is None or candidate.properties != properties or number <= candidate.number:
+        return False, CandidateSequence(properties=properties, number=number, count=1, since=now)
+    count = candidate.count + 1
+    extended = CandidateSequence(
+        properties=properties, number=number, count=count, since=candidate.since
+    )
+    return count >= needed and now - candidate.since >= MIN_CANDIDATE_S, extended
+
+
+class ReportSequence:
+    """The reports of one incarnation. Times are on the agent's monotonic clock, in seconds."""
+
+    def __init__(self, *, properties: WorkerProperties, number: int, now: float) -> None:
+        self._candidate: CandidateSequence | None = None
+        self._is_restored = False
         self._has_ended = False
-        self._staying: Rival | None = None
-        """Reports in a row after a goodbye which say that the life stays."""
+        self._staying_candidate: CandidateSequence | None = None
+        """Reports in a row after a deregistration in which the incarnation is not leaving."""
         self.is_leaving = False
-        """Whether its last report that was taken said that it leaves."""
-        self._believe(account, number, now)
+        """Whether the incarnation was leaving in its last accepted report."""
+        self._accept(properties, number, now)
 
     @property
-    def heard_at(self) -> float:
-        """When its last report was taken."""
-        return self._heard_at
+    def accepted_at(self) -> float:
+        """Time of the last accepted report."""
+        return self._accepted_at
 
     @property
-    def is_replaced(self) -> bool:
-        """Whether its last report showed that a goodbye, or what came before, was foreign."""
-        return self._is_replaced
+    def is_restored(self) -> bool:
+        """Whether the last report proved the deregistration or the earlier reports foreign."""
+        return self._is_restored
 
-    def note_end(self) -> None:
-        """Note a goodbye under this id: the life's own, or another writer's."""
+    def record_deregistration(self) -> None:
+        """Record a deregistration under this id, which may be foreign."""
         self._has_ended = True
-        self._staying = None
+        self._staying_candidate = None
 
-    def note_state(self, *, is_leaving: bool, now: float) -> None:
-        """Note whether the last report says that the life leaves.
+    def record_state(self, *, is_leaving: bool, now: float) -> None:
+        """Record whether the incarnation is leaving by its last report.
 
-        A goodbye is foreign if reports go on after it and say that the life stays.
+        A deregistration proves foreign if reports continue in which the incarnation is not leaving.
         """
         self.is_leaving = is_leaving
         if is_leaving:
-            self._staying = None
+            self._staying_candidate = None
         elif self._has_ended:
-            is_believed, self._staying = count_rival(
-                self._staying, self._account, self._number, now=now
+            is_accepted, self._staying_candidate = extend_candidate(
+                self._staying_candidate, self._properties, self._number, now=now
             )
-            self._has_ended = not is_believed
-            self._is_replaced = self._is_replaced or is_believed
+            self._has_ended = not is_accepted
+            self._is_restored = self._is_restored or is_accepted
 
-    def take(self, account: Account, number: int, *, now: float) -> bool:
-        """Return whether a report is news; raises :class:`ForeignInput` if it is foreign."""
-        limit = self._number + NUMBERS_AHEAD + NUMBERS_PER_S * (now - self._heard_at)
+    def accept(self, properties: WorkerProperties, number: int, *, now: float) -> bool:
+        """Return whether a report is newer; raises :class:`ForeignInput` if it is foreign."""
+        limit = self._number + MAX_NUMBER_GAP + MAX_NUMBERS_PER_S * (now - self._accepted_at)
         is_next = self._number < number <= limit
-        if account == self._account and is_next:
-            self._is_replaced = False
-        elif is_next and account.is_resized(self._account):
-            self._take_resized(account, number, now)
-        elif not self._replaces(account, number, now):
-            return self._pass_over(account, number, limit)
-        self._believe(account, number, now)
+        if properties == self._properties and is_next:
+            self._is_restored = False
+        elif is_next and properties.is_resized(self._properties):
+            self._check_resized(properties, number, now)
+        elif not self._extend_candidate(properties, number, now):
+            return self._reject_or_ignore(properties, number, limit)
+        self._accept(properties, number, now)
         return True
 
-    def _take_resized(self, account: Account, number: int, now: float) -> None:
-        """Go on if another capacity was said before, or raise :class:`ForeignInput`.
+    def _check_resized(self, properties: WorkerProperties, number: int, now: float) -> None:
+        """Raise :class:`ForeignInput` unless the report before declared a changed capacity, too.
 
-        It need not be the same one: a capacity may change with each report.
+        The two capacities may differ, since the capacity may change with each report.
         """
-        resized = replace(account, capacity=Resources())
-        is_believed, self._rival = count_rival(
-            self._rival, resized, number, now=now, needed=RESIZE_REPORTS
+        resized = replace(properties, capacity=Resources())
+        is_accepted, self._candidate = extend_candidate(
+            self._candidate, resized, number, now=now, needed=RESIZE_REPORTS
+        )
+        if not is_accepted:
+            raise ForeignInput(
+                Fault.PROPERTIES_CHANGED, properties.describe_change(self._properties)
+            )
+        self._is_restored = False
+
+    def _extend_candidate(self, properties: WorkerProperties, number: int, now: float) -> bool:
+        """Add a report to the candidate; return whether the candidate is to be accepted."""
+        self._is_restored, self._candidate = extend_candidate(
+            self._candidate, properties, number, now=now
         )
-        if not is_believed:
-            raise ForeignInput(Fault.OTHER_ACCOUNT, account.describe_change(self._account))
-        self._is_replaced = False
-
-    def _replaces(self, account: Account, number: int, now: float) -> bool:
-        """Note a report that does not go on from the last; tell whether it is to be believed."""
-        self._is_replaced, self._rival = count_rival(self._rival, account, number, now=now)
-        return self._is_replaced
-
-    def _pass_over(self, account: Account, number: int, limit: float) -> bool:
-        """Raise :class:`ForeignInput` for a foreign report; a late one is only no news."""
-        if account != self._account:
-            raise ForeignInput(Fault.OTHER_ACCOUNT, account.describe_change(self._account))
+        return self._is_restored
+
+    def _reject_or_ignore(self, properties: WorkerProperties, number: int, limit: float) -> bool:
+        """Raise :class:`ForeignInput` for a foreign report; return False for a late one."""
+        if properties != self._properties:
+            raise ForeignInput(
+                Fault.PROPERTIES_CHANGED, properties.describe_change(self._properties)
+            )
         if number > limit:
             raise ForeignInput(Fault.NUMBER_JUMPED, f"from {self._number} to {number}")
         return False
 
-    def _believe(self, account: Account, number: int, now: float) -> None:
-        self._account = account
+    def _accept(self, properties: WorkerProperties, number: int, now: float) -> None:
+        self._properties = properties
         self._number = number
-        self._heard_at = now
-        self._rival = None
+        self._accepted_at = now
+        self._candidate = None
 
 
-class ReportLines:
-    """The lines of the lives that were heard last."""
+class ReportSequences:
+    """The report sequences of the incarnations that reported last."""
 
     def __init__(self) -> None:
-        self._lines: dict[str, ReportLine] = {}
-        self._unborn: Rival | None = None
-        """Reports in a row under an id whose lives say when they were born, which do not."""
+        self._sequences: dict[str, ReportSequence] = {}
+        self._without_start_time: CandidateSequence | None = None
+        """Reports in a row that lack a process start time that others under their id have."""
 
     def __len__(self) -> int:
-        return len(self._lines)
-
-    def take(
-        self, life_id: str, account: Account, number: int, *, is_leaving: bool, now: float
+        return len(self._sequences)
+
+    def accept(
+        self,
+        incarnation_id: str,
+        properties: WorkerProperties,
+        number: int,
+        *,
+        is_leaving: bool,
+        now: float,
     ) -> bool:
-        """Return whether a report is news; raises :class:`ForeignInput` if it is foreign."""
-        line = self._lines.get(life_id)
-        if line is None:
-            self._check_birth(life_id, account, number, now)
-            line = self._add(life_id, account, number, now)
-        elif not line.take(account, number, now=now):
+        """Return whether a report is newer; raises :class:`ForeignInput` if it is foreign."""
+        sequence = self._sequences.get(incarnation_id)
+        if sequence is None:
+            self._check_start_time(incarnation_id, properties, number, now)
+            sequence = self._add(incarnation_id, properties, number, now)
+        elif not sequence.accept(properties, number, now=now):
             return False
-        line.note_state(is_leaving=is_leaving, now=now)
+        sequence.record_state(is_leaving=is_leaving, now=now)
         return True
 
-    def note_end(self, life_id: str) -> None:
-        """Note that a goodbye of this life was passed on."""
-        self._lines[life_id].note_end()
+    def record_deregistration(self, incarnation_id: str) -> None:
+        """Record that the deregistration of an incarnation was passed to the observer."""
+        self._sequences[incarnation_id].record_deregistration()
 
-    def is_replaced(self, life_id: str) -> bool:
-        """Tell whether a life's last report showed that what came before was another writer's."""
-        line = self._lines.get(life_id)
-        return line is not None and line.is_replaced
+    def is_restored(self, incarnation_id: str) -> bool:
+        """Return whether an incarnation's last report proved earlier ones foreign."""
+        sequence = self._sequences.get(incarnation_id)
+        return sequence is not None and sequence.is_restored
 
-    def find_leaving(self, worker_id: str) -> str:
-        """Return the life under this id that has said that it leaves, the one heard last.
+    def find_leaving_incarnation(self, worker_id: str) -> str:
+        """Return the leaving incarnation of a worker that reported last.
 
-        A goodbye does not tell which of them it is. Raises :class:`ForeignInput` if there is none.
+        A deregistration does not name the incarnation. Raises :class:`ForeignInput` if none is
+        leaving.
         """
-        lives = [
-            life_id for life_id in self._lines if parse_incarnation_id(life_id)[0] == worker_id
+        incarnations = [
+            incarnation_id
+            for incarnation_id in self._sequences
+            if parse_incarnation_id(incarnation_id)[0] == worker_id
+        ]
+        leaving = [
+            incarnation_id
+            for incarnation_id in incarnations
+            if self._sequences[incarnation_id].is_leaving
         ]
-        leaving = [life_id for life_id in lives if self._lines[life_id].is_leaving]
         if not leaving:
-            raise ForeignInput(Fault.NOT_ANNOUNCED, "not leaving" if lives else "unknown")
-        return max(leaving, key=lambda life_id: self._lines[life_id].heard_at)
+            raise ForeignInput(Fault.UNANNOUNCED, "not leaving" if incarnations else "unknown")
+        return max(leaving, key=lambda incarnation_id: self._sequences[incarnation_id].accepted_at)
 
-    def _check_birth(self, life_id: str, account: Account, number: int, now: float) -> None:
-        """Raise :class:`ForeignInput` for a life that does not say when it was born, but others do.
+    def _check_start_time(
+        self, incarnation_id: str, properties: WorkerProperties, number: int, now: float
+    ) -> None:
+        """Raise :class:`ForeignInput` if a report lacks a start time that others under its id have.
 
-        It is believed if it goes on, since those others may be another writer's.
+        Such reports are accepted if they continue, since the others may be foreign.
         """
-        worker_id, born_ms = parse_incarnation_id(life_id)
+        worker_id, born_ms = parse_incarnation_id(incarnation_id)
         if born_ms is not msgspec.UNSET:
             return
-        if not any(parse_incarnation_id(known)[0] == worker_id for known in self._lines):
+        if not any(parse_incarnation_id(known)[0] == worker_id for known in self._sequences):
             return
-        is_believed, self._unborn = count_rival(self._unborn, account, number, now=now)
-        if not is_believed:
+        is_accepted, self._without_start_time = extend_candidate(
+            self._without_start_time, properties, number, now=now
+        )
+        if not is_accepted:
             raise ForeignInput(Fault.FIELD_MISSING, "born")
 
-    def _add(self, life_id: str, account: Account, number: int, now: float) -> ReportLine:
-        if len(self._lines) >= MAX_LINES:
-            oldest = min(self._lines, key=lambda known: self._lines[known].heard_at)
-            del self._lines[oldest]
-        line = ReportLine(account=account, number=number, now=now)
-        self._lines[life_id] = line
-        return line
+    def _add(
+        self, incarnation_id: str, properties: WorkerProperties, number: int, now: float
+    ) -> ReportSequence:
+        if len(self._sequences) >= MAX_SEQUENCES:
+            oldest = min(self._sequences, key=lambda known: self._sequences[known].accepted_at)
+            del self._sequences[oldest]
+        sequence = ReportSequence(properties=properties, number=number, now=now)
+        self._sequences[incarnation_id] = sequence
+        return sequence
--- a/dalemast/platform/rows.py
+++ b/dalemast/platform/rows.py
@@ -1,7 +1,7 @@
-"""Reads rows of the store one by one, and passes over those that another writer has left.
+"""Decodes rows of the store one by one and ignores invalid ones.
 
-What a bad row stands in place of holds: an evacuation until its row is removed, a configuration
-until a newer one is read, an entry for as long as it is known.
+An invalid row does not cancel what the valid row before it declared: an evacuation lasts until its
+row is removed, a configuration until a newer one is read, and an entry stays known.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
     "MEMBERS_TABLE",
     "OPERATORS_TABLE",
     "RowReader",
-    "TableNews",
-    "find_last_key",
+    "TableUpdate",
+    "find_last_readable_key",
 ]
 
 OPERATORS_TABLE = "op"
 CONFIGURATION_KEY = "config"
 EVACUATION_PREFIX = "evacuate/"
-"""A row whose key goes on with the name of a data centre asks for its evacuation."""
+"""Prefix of the keys that request an evacuation. The name of the data centre follows."""
 MEMBERS_TABLE = "dalemast-entries"
 FOREIGN_ROW = "row:foreign"
-"""Log line of a row that is not used, and with dots the beginning of its counters."""
+"""Log event of a rejected row. With a dot in place of the colon, the prefix of its counters."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class TableNews:
-    """Rows of a table as of a version: all of them, or those that changed since the last news."""
+class TableUpdate:
+    """Rows of a table at a version: all of them, or those changed since the last update."""
 
     rows: tuple[RowBody, ...]
     version: int
@@ -53,68 +53,68 @@
 
 
 class RowReader:
-    """Judges rows for one process.
+    """Decodes and validates the rows that one process reads.
 
-    ``data_centres`` are those of the deployment; without any, every name is taken.
+    ``data_centres`` are those of the deployment. If empty, any name is valid.
     """
 
     def __init__(self, *, data_centres: Collection[str], metrics: Metrics) -> None:
         self._data_centres = data_centres
         self._evacuated: frozenset[str] = frozenset()
-        """Data centres with a row that was good when it was read last."""
+        """Data centres under evacuation, including those whose row has become invalid."""
         self._refusals = RefusalLog(event=FOREIGN_ROW, metrics=metrics)
 
-    def note_foreign(self, place: str, refusal: ForeignInput, *, version: int = 0) -> None:
-        """Count and log what is not used. ``place`` is its table, with its key if that is known."""
+    def record_foreign(self, place: str, refusal: ForeignInput, *, version: int = 0) -> None:
+        """Count and log a rejected row. ``place`` is its table, and its key if known."""
         self._refusals.note(
             writer=place, reason=refusal.fault.value, detail=refusal.detail, version=version
         )
 
     def read_rows(self, table: str, raw_rows: Iterable[msgspec.Raw]) -> tuple[RowBody, ...]:
-        """Return the rows of a table that can be read and belong to its empty part."""
+        """Return the valid rows of a table. Rows that belong to a part of the table are invalid."""
         rows = []
         for raw in raw_rows:
             try:
                 rows.append(_read_row(table, raw))
             except ForeignInput as refusal:
-                self.note_foreign(table, refusal)
+                self.record_foreign(table, refusal)
         return tuple(rows)
 
-    def read_members(self, news: TableNews) -> list[Member]:
-        """Return the entries that rows announce."""
+    def read_members(self, update: TableUpdate) -> list[Member]:
+        """Return the entries announced by the rows."""
         members = []
-        for row in news.rows:
+        for row in update.rows:
             if row.is_removed:
                 continue
             try:
                 members.append(_read_member(row))
             except ForeignInput as refusal:
-                self._note_row(MEMBERS_TABLE, row, refusal)
+                self._record_foreign_row(MEMBERS_TABLE, row, refusal)
         return members
 
-    def read_configurations(self, news: TableNews) -> list[Configuration]:
-        """Return the operators' configuration, or nothing if it is not among the rows."""
+    def read_configurations(self, update: TableUpdate) -> list[Configuration]:
+        """Return the operators' configuration, or an empty list if the rows hold none."""
         configurations = []
-        for row in news.rows:
+        for row in update.rows:
             if row.key != CONFIGURATION_KEY or row.is_removed:
                 continue
             try:
                 document = read_value(row.value, ConfigurationDocument)
             except ForeignInput as refusal:
-                self._note_row(OPERATORS_TABLE, row, refusal)
+                self._record_foreign_row(OPERATORS_TABLE, row, refusal)
             else:
                 configurations.append(_make_configuration(document))
         return configurations
 
-    def read_evacuations(self, news: TableNews) -> EvacuationChanges:
-        """Return what the rows say of evacuations.
+    def read_evacuations(self, update: TableUpdate) -> EvacuationChanges:
+        """Return the changes of evacuations.
 
-        A row that was good and is written over by a bad one goes on to count, also when the table
-        is read anew, until it is removed.
+        A valid row that was overwritten by an invalid one remains in effect until it is removed,
+        even if the whole table is read again.
         """
         begun: set[str] = set()
         ended: set[str] = set()
-        for row in news.rows:
+        for row in update.rows:
             if not row.key.startswith(EVACUATION_PREFIX):
                 continue
             data_centre = row.key.removeprefix(EVACUATION_PREFIX)
@@ -122,43 +122,43 @@
                 ended.add(data_centre)
             elif self._is_evacuated(row, data_centre):
                 begun.add(data_centre)
-        before = frozenset() if news.is_whole else self._evacuated - ended
+        before = frozenset() if update.is_whole else self._evacuated - ended
         self._evacuated = before | begun
         return EvacuationChanges(
-            version=news.version,
+            version=update.version,
             begun=frozenset(begun),
             ended=frozenset(ended),
-            is_whole=news.is_whole,
+            is_whole=update.is_whole,
         )
 
     def _is_evacuated(self, row: RowBody, data_centre: str) -> bool:
-        """Tell whether a row asks for an evacuation, or stands where one did that asked for it."""
+        """Return whether a row requests an evacuation, or is invalid and overwrote one that did."""
         try:
             self._check_data_centre(data_centre)
             read_value(row.value, EvacuationDocument)
         except ForeignInput as refusal:
-            self._note_row(OPERATORS_TABLE, row, refusal)
+            self._record_foreign_row(OPERATORS_TABLE, row, refusal)
             return data_centre in self._evacuated
         return True
 
     def _check_data_centre(self, name: str) -> None:
-        """Raise :class:`ForeignInput` unless there is such a data centre."""
+        """Raise :class:`ForeignInput` unless ``name`` is a data centre of the deployment."""
         if not name:
             raise ForeignInput(Fault.FIELD_MISSING, "name of the data centre")
         if self._data_centres and name not in self._data_centres:
-            raise ForeignInput(Fault.OTHER_PLACE, f"data centre {name}")
+            raise ForeignInput(Fault.WRONG_LOCATION, f"data centre {name}")
 
-    def _note_row(self, table: str, row: RowBody, refusal: ForeignInput) -> None:
-        self.note_foreign(f"{table}/{row.key}", refusal, version=row.ver)
+    def _record_foreign_row(self, table: str, row: RowBody, refusal: ForeignInput) -> None:
+        self.record_foreign(f"{table}/{row.key}", refusal, version=row.ver)
 
 
-def find_last_key(raw_rows: Sequence[msgspec.Raw]) -> str:
-    """Return the last key that can be read, whatever else its row holds, or an empty text."""
+def find_last_readable_key(raw_rows: Sequence[msgspec.Raw]) -> str:
+    """Return the last key that can be decoded, or an empty string. Its row may be invalid."""
     for raw in reversed(raw_rows):
         try:
             row: RowKey = read_json(raw, RowKey)
         except ForeignInput:
-            # It was counted when the rows were read.
+            # Already counted by read_rows.
             continue
         return row.key
     return ""
@@ -167,7 +167,7 @@
 def _read_row(table: str, raw: msgspec.Raw) -> RowBody:
     row: RowBody = read_json(raw, RowBody)
     if row.part or row.table not in ("", table):
-        raise ForeignInput(Fault.OTHER_PLACE, f"key {row.key} of {row.table}, part {row.part}")
+        raise ForeignInput(Fault.WRONG_LOCATION, f"key {row.key} of {row.table}, part {row.part}")
     return row
 
 
--- a/dalemast/platform/wire.py
+++ b/dalemast/platform/wire.py
@@ -1,6 +1,7 @@
-"""The platform's messages. Each wire name stands here once, beside what it holds.
+"""Messages exchanged with the platform.
 
-Fields that the platform may add are passed over. Times on the wire are milliseconds.
+This module maps the platform's field names to attribute names. Unknown fields are ignored. Times on
+the wire are in milliseconds.
 """
 
 from __future__ import annotations
@@ -35,16 +36,16 @@
 EXPECTED_INCARNATION_HEADER = "Dalemast-Expect-Instance"
 DEADLINE_HEADER = "Dalemast-Deadline-Ms"
 MAX_TEXT = 200
-"""Characters of a name, address or label; keys of the store have as many bytes at most."""
+"""Maximum length of a name, address or label, in characters. Keys of the store are limited to the
+same number of bytes."""
 MAX_LABELS = 64
-"""Labels of a worker. The platform gives two: its kind and its rack."""
+"""Maximum number of labels of a worker."""
 MAX_AMOUNT = 10**9
-"""Largest amount of a resource: a million cores, a thousand terabytes. No worker has as much, and
-sums of it stay exact."""
+"""Maximum amount of a resource: millicores, megabytes of memory or GPUs."""
 MAX_MS = 1e15
-"""Longest time: 30,000 years in milliseconds, which a float still tells one by one."""
+"""Maximum time, in milliseconds. A float represents every whole number up to this one exactly."""
 MAX_VERSION = 2**53
-"""Highest version or number of a report, which every JSON library reads without loss."""
+"""Maximum version or report number. Every JSON library decodes integers up to it without loss."""
 
 Text = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_TEXT)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
@@ -54,30 +55,31 @@
 
 
 class Wire(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Base of all messages."""
+    """Base class of the platform's messages."""
 
 
 class StepBody(Wire, frozen=True, kw_only=True):
-    """A step of a job."""
+    """A step of a job: a number of tasks with the same requirements."""
 
     count: int
     cpu: int = 0
     memory_mb: int = msgspec.field(default=0, name="mem_mb")
     gpu: int = 0
     estimate_ms: float = 0.0
-    # Named like a store's revision, but it lists the numbers of earlier steps.
+    # Indexes of the earlier steps that must end first. Despite its wire name, not a revision.
     after: tuple[int, ...] = msgspec.field(default=(), name="since_rev")
     saves_progress: bool = msgspec.field(default=False, name="checkpointing")
     is_gang: bool = msgspec.field(default=False, name="gang")
     is_one_rack: bool = msgspec.field(default=False, name="same_rack")
-    # A label that the worker must have.
+    # Label that the worker must have.
     label: str = msgspec.field(default="", name="requires")
-    # The rack that holds the data; other racks are allowed, and slower.
+    # Rack that holds the data. Tasks may run in other racks, but run slower there.
     data_rack: str = msgspec.field(default="", name="affinity")
-    # Not a list of others to avoid, but how many tasks of the step one worker may have.
+    # Maximum number of this step's tasks on one worker. Despite its wire name, not a list of tasks
+    # to keep apart.
     max_per_worker: int = msgspec.field(default=0, name="anti_affinity")
     may_run_twice: bool = msgspec.field(default=False, name="speculative")
-    # The tasks run until the job is cancelled.
+    # Whether the tasks run until the job is cancelled.
     is_lasting: bool = msgspec.field(default=False, name="daemon")
     image: str = ""
     target_ms: float = 0.0
@@ -86,12 +88,12 @@
 
 
 class JobBody(Wire, frozen=True, kw_only=True):
-    """A job as a caller submits it."""
+    """A job as submitted by a caller."""
 
-    # A text that is passed on to the worker untouched, and not a specification of anything here.
+    # Opaque text that is passed to the worker unchanged.
     payload: str = msgspec.field(default="", name="spec")
     steps: Annotated[tuple[StepBody, ...], msgspec.Meta(min_length=1)]
-    # Nobody asks about the job after its answer, so nothing has to be kept.
+    # Whether the job's state may be discarded once the job has been answered.
     is_unkept: bool = msgspec.field(default=False, name="best_effort")
     times: int = 0
     first_ms: int = 0
@@ -99,19 +101,19 @@
 
 
 class JobStateBody(Wire, frozen=True, kw_only=True):
-    """How a job stands."""
+    """State of a job."""
 
     state: str
 
 
 class WaitingBody(msgspec.Struct, frozen=True, kw_only=True):
-    """How many accepted jobs of a queue have not begun."""
+    """Number of accepted jobs of a queue that have not started."""
 
     waiting: int
 
 
 class RejectionBody(msgspec.Struct, frozen=True, kw_only=True):
-    """Why a request is refused. ``retry_ms`` is when to come back."""
+    """Reason for the rejection of a request. ``retry_ms`` is the pause before a retry."""
 
     error: str
     code: str
@@ -119,7 +121,7 @@
 
 
 class RouteBody(Wire, frozen=True, kw_only=True):
-    """A queue as operators configure it."""
+    """A queue as configured by operators."""
 
     name: Text
     host: Text
@@ -128,17 +130,19 @@
     priority: int = 0
     attempts: Positive = 1
     stretch: Annotated[float, msgspec.Meta(ge=0, le=MAX_AMOUNT)] = 1.0
-    # Not the whole objective: what is added to the stretched run time.
+    # Added to the stretched run time to give the objective. Despite its wire name, not the whole
+    # objective.
     slack_ms: Milliseconds = msgspec.field(default=0.0, name="slo_ms")
     timeout_ms: Milliseconds = 0.0
-    # Set where only some workers may run a step and the advice service knows which.
+    # Set if an advice service decides which workers may run a step.
     advice: Any = None
 
 
 class ConfigurationDocument(Wire, frozen=True, kw_only=True):
-    """The operators' configuration, in whole.
+    """The operators' whole configuration.
 
-    ``services`` and ``limits`` are not used; a document without them is not the operators'.
+    ``services`` and ``limits`` are unused, but required: a document that lacks them was not written
+    by operators.
     """
 
     version: Version
@@ -148,11 +152,11 @@
 
 
 class EvacuationDocument(Wire, frozen=True, kw_only=True):
-    """An operator's wish that nothing further be started in a data centre; the key names it."""
+    """An operator's request to start nothing more in a data centre, which the row's key names."""
 
 
 class RowBody(Wire, frozen=True, kw_only=True):
-    """A row of the store. ``value`` is base64."""
+    """A row of the store. ``value`` is encoded in base64."""
 
     table: str = ""
     part: str = ""
@@ -163,15 +167,15 @@
 
 
 class RowKey(Wire, frozen=True, kw_only=True):
-    """The part of a row that tells from where to go on reading."""
+    """The key of a row, from which the next page is read."""
 
     key: Text
 
 
 class RowsResponse(Wire, frozen=True, kw_only=True):
-    """Rows as of one moment; ``ver`` is the store's newest version then.
+    """A page of a table. ``ver`` is the store's version when the page was read.
 
-    Each row is decoded by itself, since any of them may be another writer's.
+    Rows are decoded one by one, so that an invalid row does not invalidate the page.
     """
 
     rows: tuple[msgspec.Raw, ...] = ()
@@ -180,7 +184,7 @@
 
 
 class FeedResponse(Wire, frozen=True, kw_only=True):
-    """Rows that changed; the next call continues from ``ver``."""
+    """Rows that have changed. The next call continues from ``ver``."""
 
     rows: tuple[msgspec.Raw, ...] = ()
     ver: Version
@@ -196,20 +200,20 @@
 
 
 class TransactionCall(Wire, frozen=True, kw_only=True):
-    """Writes that happen together."""
+    """Rows to write in one transaction."""
 
     writes: tuple[RowWrite, ...] = msgspec.field(default=(), name="set_keys")
 
 
 class WorkerState(enum.Enum):
-    """What a worker says of itself."""
+    """State that a worker reports."""
 
     READY = "ready"
     LEAVING = "draining"
 
 
 class CapacityBody(Wire, frozen=True, kw_only=True):
-    """What a worker has."""
+    """Total resources of a worker."""
 
     cpu: Positive
     memory_mb: Positive = msgspec.field(name="mem_mb")
@@ -217,10 +221,11 @@
 
 
 class Heartbeat(Wire, frozen=True, kw_only=True):
-    """A worker's account of itself.
+    """A worker's periodic report.
 
-    ``born`` is when its process began, in Unix milliseconds: another one under the same id is
-    another life. It, ``clock_ms`` and ``remaining_ms`` are UNSET where the sender left them out.
+    ``born`` is the start time of the worker's process, in Unix milliseconds. It distinguishes
+    incarnations that have the same worker id. ``born``, ``clock_ms`` and ``remaining_ms`` are UNSET
+    if the sender omitted them.
     """
 
     service: Text
@@ -239,7 +244,7 @@
 
 
 class StartCall(Wire, frozen=True, kw_only=True):
-    """Start a run. ``until_ms`` is on the worker's clock and renews its whole lease."""
+    """Start a run. ``until_ms`` is on the worker's clock and renews the lease of all its runs."""
 
     task: str
     run: int
@@ -249,7 +254,7 @@
 
 
 class StopCall(Wire, frozen=True, kw_only=True):
-    """Stop a run, or bar one that has not arrived yet."""
+    """Stop a run. If its start has not arrived yet, the worker must reject that start."""
 
     task: str
     run: int
@@ -257,19 +262,21 @@
 
 
 class HoldCall(Wire, frozen=True, kw_only=True):
-    """Renew the lease and list what runs; the name on the wire says neither."""
+    """Renew the lease and list the worker's runs."""
 
     fence: int
-    # Ends up to this number are forgotten by the worker.
+    # The worker discards ended runs up to this number.
     ends_seen: int = msgspec.field(name="acked_upto")
     until_ms: int | None = None
     wait_ms: int | None = None
 
 
 class HoldResponse(Wire, frozen=True, kw_only=True):
-    """``running``: task, run, saved progress, percent. ``ended``: number, task, run, how, saved.
+    """The worker's runs.
 
-    ``born`` tells whose lists these are, as in :class:`Heartbeat`.
+    The rows of ``running`` hold task, run, saved progress and percentage done; those of ``ended``
+    hold number, task, run, end reason and saved progress. ``born`` identifies the incarnation, as
+    in :class:`Heartbeat`.
     """
 
     clock_ms: float
@@ -279,7 +286,7 @@
 
 
 class ClockResponse(Wire, frozen=True, kw_only=True):
-    """What every answer of a worker carries; ``reason`` says why it rejected a call."""
+    """Fields common to all responses of a worker. ``reason`` is why it rejected a call."""
 
     clock_ms: float | None = None
     reason: str = ""
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -1,4 +1,4 @@
-"""Calls the worker on this host as the platform's pages say."""
+"""Calls to the worker on this host, by the platform's worker protocol."""
 
 from __future__ import annotations
 
@@ -50,86 +50,88 @@
 STOP_PATH = "/v1/run-stop"
 POLL_PATH = "/v1/hold"
 STOP_TIMEOUT_S = 0.15
-"""A worker on the same host answers within a few milliseconds, also when this process is slowed."""
+"""Timeout of a stop call, in seconds."""
 START_TIMEOUTS_S = (0.04, 0.08, 0.15)
-"""A start that stays unanswered is said again, since the worker takes a run only once. The first
-try is short: answers usually come within 2 ms, and the task waits meanwhile."""
-ORDER_CONNECTIONS = 4
-"""Connections for orders. New ones are priced, and one that is not answered blocks the others."""
+"""Timeouts of the tries of a start call, in seconds. An unanswered call can be retried safely,
+since a worker accepts each run only once. The first timeout is short, because the task waits."""
+MAX_ORDER_CONNECTIONS = 4
+"""Maximum number of connections for start and stop calls. Several, because an unanswered call
+blocks its connection; few, because new connections have a price."""
 FENCE_STEP = 60_000
-"""How far a token is raised when the worker has seen a higher one: more than a clock steps."""
-WRONG_LIFE = 421
+"""Increment of the fence when the worker has seen a higher one, in milliseconds. It exceeds the
+steps by which the system clock is set back."""
+WRONG_INCARNATION = 421
 REJECTIONS = {
     "old": StartOutcome.RUN_USED,
     "room": StartOutcome.NO_ROOM,
     "late": StartOutcome.EXPIRED,
     "fence": StartOutcome.FENCED,
 }
-SURE_AFTER_SILENCE = frozenset({StartOutcome.RUNNING, StartOutcome.RUN_USED})
-"""Answers that tell what became of an earlier try that got none. Any other leaves open whether that
-one was carried out, or will be once there is room or the worker is sound."""
+CONCLUSIVE_OUTCOMES = frozenset({StartOutcome.RUNNING, StartOutcome.RUN_USED})
+"""Outcomes that also settle earlier, unanswered tries. After any other outcome an earlier try may
+have started the run, or may start it later."""
 END_REASONS = {"done": EndReason.DONE, "failed": EndReason.FAILED}
-"""All other words (stopped, lapsed, broken, alone) say that the run did not come to its end."""
+"""All other reasons (stopped, lapsed, broken, alone) mean that the run did not finish."""
 
 
-class OtherLife(HttpFailure):
-    """Another life of the worker is at the other end of a connection; it was told nothing."""
+class IncarnationMismatch(HttpFailure):
+    """A connection leads to another incarnation of the worker. No call was sent to it."""
 
     def __init__(self) -> None:
-        super().__init__("another life answers", is_unreachable=True)
+        super().__init__("another incarnation of the worker answers", is_unreachable=True)
 
 
 class PlatformWorkerDriver(BaseWorkerDriver):
-    """One worker. Its clock is followed by what its answers say.
+    """Driver of one worker, which estimates the worker's clock from its responses.
 
-    A call names the worker's id, which its next life may have too: its clock and its numbers of
-    ends begin anew, so that a lease or an end that is taken note of means something else there. So
-    each connection begins with a look that shows which life is at its other end, and carries calls
-    for that one alone.
+    Calls name the worker's id, which its next incarnation may keep. Since the clock and the numbers
+    of ended runs start again with each incarnation, a lease or an acknowledgement must not reach
+    another one. Each connection therefore begins with a poll that identifies the incarnation at the
+    other end, and carries calls for that one only.
     """
 
     def __init__(self, *, settings: FleetAgentSettings, lease_s: float) -> None:
         self._lease_s = lease_s
         self._address = settings.worker.address
-        self._life_id = ""
+        self._incarnation_id = ""
         self._is_greeting = False
-        """Whether connections begin with a look, since lives may share an id."""
-        self._orders = self._make_client(ORDER_CONNECTIONS, greeting=None)
-        self._looks = self._make_client(1, greeting=None)
-        # Of all tokens that this host's agents ever sent, the newest life's must be the highest:
-        # the time of day rises from one life to the next, and _raise_fence mends what steps spoil.
+        """Whether connections begin with a poll, because incarnations may share a worker id."""
+        self._orders = self._make_client(MAX_ORDER_CONNECTIONS, greeting=None)
+        self._polls = self._make_client(1, greeting=None)
+        # The newest agent process on this host must send the highest fence. The system time rises
+        # from one process to the next; if it was set back, _raise_fence compensates.
         self._fence = int(time.time() * 1000)
         self._headers: dict[str, str] = {}
         self._clock = LeastLead(drift=WORKER_CLOCK_ERROR)
-        """The worker's clock against this one. Taken as it was read, that of a worker that had been
-        idle for 30 s let what was started then run on for 0.6 s more."""
+        """Lead of the worker's clock over this process's clock. Allows for drift: with an outdated
+        lead, runs on a worker that was idle would outlive their lease."""
         self._lease = WorkerLease(lease_s=lease_s)
         self._ends_seen = 0
         self._was_stop_unanswered = False
 
     @property
     def leased_until(self) -> float:
-        """When everything on the worker has surely lapsed, by what was sent so far."""
+        """When the lease of every run on the worker has certainly expired, given the calls sent."""
         return self._lease.ends_at + self._lease_s * (WORKER_CLOCK_STRETCH - 1.0)
 
-    def register(self, life: WorkerIncarnation) -> None:
-        """Address all further calls to this life."""
-        worker_id, _ = parse_incarnation_id(life.id)
-        if self._life_id:
-            # Bars what was said to an earlier life under this id and arrives only now.
+    def register(self, incarnation: WorkerIncarnation) -> None:
+        """Address all further calls to this incarnation."""
+        worker_id, _ = parse_incarnation_id(incarnation.id)
+        if self._incarnation_id:
+            # Fences off calls to an earlier incarnation with the same id that arrive late.
             self._fence += 1
-        self._life_id = life.id
+        self._incarnation_id = incarnation.id
         self._headers = {EXPECTED_INCARNATION_HEADER: worker_id}
         self._open_clients()
         self._clock = LeastLead(drift=WORKER_CLOCK_ERROR)
         self._ends_seen = 0
 
     async def start(self, request: StartRequest, *, get_limit: Callable[[], float]) -> StartOutcome:
-        """Order a start, trying again while it stays unanswered.
+        """Start a run, retrying while the call is unanswered.
 
-        All tries are meant for the life that was known at the first one: a run must not begin on a
-        later life, since its owner is told that it ended with the life it was meant for. Each try
-        asks anew how long the run is kept alive: this process may have stood still since the last.
+        All tries are sent to the incarnation that was registered at the first one: a later one must
+        not start the run, since the owner is told that it ended with the earlier incarnation. Each
+        try calls ``get_limit`` again, because this process may have been paused since the last.
         """
         headers, orders = self._headers, self._orders
         is_fresh = False
@@ -139,7 +141,7 @@
             if lease_end is None:
                 break
             call = StartCall(
-                task=_name_task(request.run_id),
+                task=_format_task_name(request.run_id),
                 run=request.run_id.run,
                 payload=request.payload,
                 until_ms=self._to_worker_ms(lease_end),
@@ -155,14 +157,14 @@
                     is_fresh=is_fresh,
                 )
             except HttpFailure as failure:
-                # Counted and logged by the caller once all tries are over.
+                # The caller counts and logs the failure after the last try.
                 is_fresh = True
                 may_have_arrived |= not failure.is_unreachable
                 continue
-            outcome = self._read_start(response, headers)
+            outcome = self._read_start_response(response, headers)
             if outcome is StartOutcome.FENCED:
                 continue
-            if may_have_arrived and outcome not in SURE_AFTER_SILENCE:
+            if may_have_arrived and outcome not in CONCLUSIVE_OUTCOMES:
                 return StartOutcome.UNANSWERED
             return outcome
         if may_have_arrived:
@@ -170,8 +172,8 @@
         return StartOutcome.NOT_LISTENING if is_fresh else StartOutcome.EXPIRED
 
     async def stop(self, run_id: RunId) -> bool:
-        """Order a stop; return whether it was answered."""
-        call = StopCall(task=_name_task(run_id), run=run_id.run, fence=self._fence)
+        """Stop a run; return whether the worker confirmed it."""
+        call = StopCall(task=_format_task_name(run_id), run=run_id.run, fence=self._fence)
         try:
             response = await self._orders.request(
                 "POST",
@@ -189,7 +191,7 @@
         return response.status == 200
 
     async def poll(self, plan: PollPlan, *, limit: float) -> PollResult:
-        """Ask what runs and what ended."""
+        """Fetch the running and the ended runs, and renew the lease if the plan says so."""
         asked_at = clock.monotonic()
         headers = self._headers
         is_clock_known = self._clock.is_known
@@ -203,99 +205,103 @@
             wait_ms=round(plan.wait_s * 1000) if plan.wait_s and is_clock_known else None,
         )
         try:
-            response = await self._looks.request(
+            response = await self._polls.request(
                 "POST",
                 POLL_PATH,
                 body=call,
                 headers=headers,
                 timeout_s=plan.wait_s + plan.slack_s,
             )
-        except OtherLife as failure:
+        except IncarnationMismatch as failure:
             raise WorkerReplaced(failure.message) from failure
         except HttpFailure as failure:
             if failure.is_unreachable:
                 raise WorkerGone(failure.message) from failure
             raise WorkerUnanswered(failure.message) from failure
         if headers is not self._headers:
-            raise WorkerUnanswered("the answer is an earlier life's")
-        if response.status == WRONG_LIFE:
-            raise WorkerReplaced("another life answers")
+            raise WorkerUnanswered("the response is from an earlier incarnation of the worker")
+        if response.status == WRONG_INCARNATION:
+            raise WorkerReplaced("another incarnation of the worker answers")
         if response.status != 200:
-            self._read_start(response, headers)
+            self._read_start_response(response, headers)
             raise WorkerUnanswered(f"status {response.status}")
-        return self._read_look(response, asked_at)
+        return self._read_poll_response(response, asked_at)
 
     def _open_clients(self) -> None:
-        """Open connections to the life that was met, and close those to another one.
+        """Open connections to the registered incarnation and close those to an earlier one.
 
-        Lives with ids of their own need none: each refuses what is meant for another one.
+        Incarnations with different worker ids can keep using the connections: each rejects calls
+        for another id.
         """
         greeting = self._make_greeting()
         if greeting is None and not self._is_greeting:
             return
         self._is_greeting = greeting is not None
         self._orders.close()
-        self._looks.close()
-        self._orders = self._make_client(ORDER_CONNECTIONS, greeting=greeting)
-        self._looks = self._make_client(1, greeting=greeting)
+        self._polls.close()
+        self._orders = self._make_client(MAX_ORDER_CONNECTIONS, greeting=greeting)
+        self._polls = self._make_client(1, greeting=greeting)
 
     def _make_client(self, connections: int, *, greeting: Greeting | None) -> DirectClient:
         return DirectClient(address=self._address, max_connections=connections, greeting=greeting)
 
     def _make_greeting(self) -> Greeting | None:
-        """Return a look that neither renews a lease nor takes note of ends, if lives share ids."""
-        _, born_ms = parse_incarnation_id(self._life_id)
+        """Return the poll that begins a connection, or None if incarnations do not share ids.
+
+        It neither renews the lease nor acknowledges ended runs.
+        """
+        _, born_ms = parse_incarnation_id(self._incarnation_id)
         if born_ms is msgspec.UNSET:
             return None
         headers = self._headers
 
         def accept(response: JsonResponse) -> None:
-            if response.status == WRONG_LIFE:
-                raise OtherLife
+            if response.status == WRONG_INCARNATION:
+                raise IncarnationMismatch
             if response.status != 200:
-                self._read_start(response, headers)
+                self._read_start_response(response, headers)
                 raise HttpFailure(f"status {response.status}", is_unreachable=False)
             if response.decode(HoldResponse).born != born_ms:
-                raise OtherLife
+                raise IncarnationMismatch
 
         call = HoldCall(fence=self._fence, ends_seen=0)
         return Greeting(path=POLL_PATH, body=call, headers=headers, accept=accept)
 
     def _to_worker_ms(self, at: float) -> int:
-        """Return a moment in milliseconds of the worker's clock, no later than it truly is."""
+        """Convert a time to milliseconds on the worker's clock; never returns a later time."""
         if not self._clock.is_known:
-            # Past on any clock: the worker refuses the order as too late.
+            # In the past on any clock, so the worker rejects the call as too late.
             return 0
         return int((at + self._clock.get(now=clock.monotonic())) * 1000)
 
-    def _read_start(self, response: JsonResponse, headers: dict[str, str]) -> StartOutcome:
-        if response.status == WRONG_LIFE:
+    def _read_start_response(self, response: JsonResponse, headers: dict[str, str]) -> StartOutcome:
+        if response.status == WRONG_INCARNATION:
             return StartOutcome.WRONG_LIFE
-        answer = _decode_clock(response)
+        answer = _decode_clock_response(response)
         if headers is self._headers:
-            self._follow_clock(answer.clock_ms)
+            self._update_clock(answer.clock_ms)
         if response.status == 200:
             return StartOutcome.RUNNING
         if response.status == 409 and answer.reason == "fence":
             self._raise_fence()
         return REJECTIONS.get(answer.reason, StartOutcome.REJECTED)
 
-    def _read_look(self, response: JsonResponse, asked_at: float) -> PollResult:
+    def _read_poll_response(self, response: JsonResponse, asked_at: float) -> PollResult:
         answer = response.decode(HoldResponse)
-        _, born_ms = parse_incarnation_id(self._life_id)
+        _, born_ms = parse_incarnation_id(self._incarnation_id)
         if answer.born != born_ms:
-            raise WorkerReplaced("another life answers")
-        self._follow_clock(answer.clock_ms)
-        ended = tuple(_read_end(row) for row in answer.ended)
+            raise WorkerReplaced("another incarnation of the worker answers")
+        self._update_clock(answer.clock_ms)
+        ended = tuple(_parse_end(row) for row in answer.ended)
         for end in ended:
             self._ends_seen = max(self._ends_seen, end.number)
         running = tuple(
-            ListedRun(run_id=_read_run(row[0], row[1]), percent=float(row[3]))
+            ListedRun(run_id=_parse_run_id(row[0], row[1]), percent=float(row[3]))
             for row in answer.running
         )
         return PollResult(running=running, ended=ended, asked_at=asked_at)
 
-    def _follow_clock(self, clock_ms: float | None) -> None:
+    def _update_clock(self, clock_ms: float | None) -> None:
         if clock_ms is not None:
             now = clock.monotonic()
             self._clock.show(clock_ms / 1000 - now, now=now)
@@ -305,27 +311,27 @@
         log_event("worker:fence-raised", fence=self._fence)
 
 
-def _decode_clock(response: JsonResponse) -> ClockResponse:
+def _decode_clock_response(response: JsonResponse) -> ClockResponse:
     try:
         answer = response.decode(ClockResponse)
     except msgspec.MsgspecError:
-        # Rejections such as 429 may come without a body; the status says what matters.
+        # Rejections such as 429 may have no body. The status is enough.
         return ClockResponse()
     assert isinstance(answer, ClockResponse)
     return answer
 
 
-def _name_task(run_id: RunId) -> str:
-    """Return the task's name on the wire; the 0 is the time, for jobs that run at set times."""
+def _format_task_name(run_id: RunId) -> str:
+    """Return the task's name on the wire. The 0 stands for the time of a scheduled job."""
     return f"{run_id.job_id}.0.{run_id.task.step}.{run_id.task.position}"
 
 
-def _read_run(name: str, run: int) -> RunId:
+def _parse_run_id(name: str, run: int) -> RunId:
     job_id, _, step, position = name.split(".")
     return RunId(job_id, TaskKey(int(step), int(position)), run)
 
 
-def _read_end(row: tuple[Any, ...]) -> EndedRun:
+def _parse_end(row: tuple[Any, ...]) -> EndedRun:
     number, name, run, how = row[:4]
     reason = END_REASONS.get(how, EndReason.STOPPED)
-    return EndedRun(number=number, run_id=_read_run(name, run), reason=reason)
+    return EndedRun(number=number, run_id=_parse_run_id(name, run), reason=reason)
--- a/tests/platform/reports.py
+++ b/tests/platform/reports.py
@@ -1,4 +1,4 @@
-"""What tests of a worker's reports share: a full report, and who hears of it."""
+"""Helpers for tests of worker reports: a complete report, and an observer."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 ADDRESS = "10.1.0.14:8165"
 DATA_CENTRE = "austin"
-LIFE = "i-7f3a91c2"
+WORKER_ID = "i-7f3a91c2"
 REQUIRED = (
     "service",
     "addr",
@@ -26,32 +26,32 @@
     "capacity",
     "labels",
 )
-"""Fields that the platform's pages give every worker."""
+"""Fields that every report must have."""
 
 
 class Observer:
-    """Notes what a registration tells, in order."""
+    """Records the calls of a registration, in order."""
 
     def __init__(self) -> None:
-        self.lives: list[WorkerIncarnation] = []
+        self.incarnations: list[WorkerIncarnation] = []
         self.lost: list[str] = []
         self.restored: list[str] = []
 
-    def register_incarnation(self, life: WorkerIncarnation) -> None:
-        """Note an account."""
-        self.lives.append(life)
+    def register_incarnation(self, incarnation: WorkerIncarnation) -> None:
+        """Record a report."""
+        self.incarnations.append(incarnation)
 
-    def lose_incarnation(self, life_id: str) -> None:
-        """Note an end."""
-        self.lost.append(life_id)
+    def lose_incarnation(self, incarnation_id: str) -> None:
+        """Record a deregistration."""
+        self.lost.append(incarnation_id)
 
-    def restore_incarnation(self, life_id: str) -> None:
-        """Note that a life was another writer's to end."""
-        self.restored.append(life_id)
+    def restore_incarnation(self, incarnation_id: str) -> None:
+        """Record that an earlier deregistration or report proved foreign."""
+        self.restored.append(incarnation_id)
 
 
 def make_settings(registration: str = "10.1.0.14:8166") -> FleetAgentSettings:
-    """Return the settings of an agent whose worker takes calls at :data:`ADDRESS`."""
+    """Return the settings of an agent whose worker listens at :data:`ADDRESS`."""
     return FleetAgentSettings(
         name="side-austin-1",
         data_centre=DATA_CENTRE,
@@ -63,7 +63,7 @@
 
 
 def make_report(**fields: Any) -> dict[str, Any]:
-    """Return a report with every field that a worker sends, some of which may be given."""
+    """Return a complete report, in which ``fields`` replace the defaults."""
     return {
         "service": "floor",
         "addr": ADDRESS,
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter, and the adapter is named by settings only."""
+"""The platform's wire names are used in the adapter only, and nothing imports the adapter."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 ROOT = Path(dalemast.__file__).parent
 ALLOWED = ("platform", "emulator")
-"""The emulator stands in for the platform and uses the adapter's messages."""
+"""Packages that may use wire names. The emulator replaces the platform in tests."""
 WIRE_NAMES = re.compile(
     r"Dalemast-(Deadline|Expect|Instance|Lease|Fence)|/v1/(run-|hold\b|pace\b|advise|machine|rows-|blob-)"
     r"|Instances\.|\bevacuate/|\b(since_rev|acked_upto|best_effort|rejects_overload|path_prefix|slo_ms"
@@ -35,7 +35,7 @@
             for name in get_imports(file):
                 self.assertFalse(name.startswith("dalemast.platform"), f"{file} imports {name}")
 
-    def test_no_wire_name_stands_outside(self) -> None:
+    def test_no_wire_name_is_used_outside(self) -> None:
         for file in get_files():
             found = WIRE_NAMES.search(file.read_text())
             self.assertIsNone(found, f"{file}: {found}")
--- a/tests/platform/test_foreign_properties.py
+++ b/tests/platform/test_foreign_properties.py
@@ -1,4 +1,4 @@
-"""Foreign reports and rows of any kind, beside the worker's and the operators', change nothing."""
+"""Foreign reports of any kind, sent between the worker's own, have no effect."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tests.platform.reports import (
     ADDRESS,
     DATA_CENTRE,
-    LIFE,
     REQUIRED,
+    WORKER_ID,
     Observer,
     make_report,
     make_settings,
@@ -31,14 +31,14 @@
 MAPS = st.dictionaries(TEXTS, st.integers(), max_size=2)
 NO_TEXT = st.none() | st.booleans() | st.integers() | LISTS | MAPS
 NO_NUMBER = st.none() | st.booleans() | TEXTS | LISTS | MAPS
-LIFE_IDS = st.just(LIFE) | st.from_regex(r"i-[0-9a-f]{8}", fullmatch=True)
+WORKER_IDS = st.just(WORKER_ID) | st.from_regex(r"i-[0-9a-f]{8}", fullmatch=True)
 
 ForeignReport = tuple[str, bytes]
-"""An id and a body."""
+"""A worker id and a request body."""
 
 
 def change(fields: dict[str, Any], dropped: str = "") -> bytes:
-    """Return the bytes of a report with some fields changed or one left out."""
+    """Return an encoded report with some fields changed, or one omitted."""
     report = make_report(**fields)
     report.pop(dropped, None)
     return msgspec.json.encode(report)
@@ -80,29 +80,31 @@
 JUMPED = st.integers(10**6, 2**53).map(lambda seq: change({"seq": seq}))
 
 UNUSABLE = DROPPED | RETYPED | UNKNOWN_WORD | ELSEWHERE | OUT_OF_RANGE | RAW | CUT
-FOREIGN_REPORTS = st.tuples(LIFE_IDS, UNUSABLE) | st.tuples(st.just(LIFE), CONTRADICTING | JUMPED)
+FOREIGN_REPORTS = st.tuples(WORKER_IDS, UNUSABLE) | st.tuples(
+    st.just(WORKER_ID), CONTRADICTING | JUMPED
+)
 OWN_REPORTS = st.lists(
     st.sampled_from(("ready", "ready", "ready", "draining")), min_size=2, max_size=6
 )
 
 
 class Counter:
-    """How many foreign inputs a test has delivered."""
+    """Number of foreign reports that a test has delivered."""
 
     def __init__(self) -> None:
         self.cases = 0
 
 
 def deliver(own: list[str], foreign: list[list[ForeignReport]], counter: Counter) -> Observer:
-    """Deliver the worker's reports, foreign ones after each of them."""
+    """Deliver the worker's reports, each followed by foreign ones."""
     observer = Observer()
     registration = PlatformRegistration(settings=make_settings(), observer=observer)
     for number, state in enumerate(["ready", *own], start=1):
-        registration.take(LIFE, change({"state": state, "seq": number}))
-        for life_id, data in foreign[number - 1] if number <= len(foreign) else []:
+        registration.handle_report(WORKER_ID, change({"state": state, "seq": number}))
+        for worker_id, data in foreign[number - 1] if number <= len(foreign) else []:
             counter.cases += 1
             try:
-                registration.take(life_id, data)
+                registration.handle_report(worker_id, data)
             except ForeignInput:
                 continue
     return observer
@@ -117,7 +119,7 @@
     def check(self, own: list[str], foreign: list[list[ForeignReport]]) -> None:
         with_foreign = deliver(own, foreign, self.counter)
         without = deliver(own, [], Counter())
-        self.assertEqual(without.lives, with_foreign.lives)
+        self.assertEqual(without.incarnations, with_foreign.incarnations)
 
     def test_the_worker_is_known_as_without_foreign_reports(self) -> None:
         self.counter = Counter()
@@ -125,9 +127,9 @@
         self.assertGreater(self.counter.cases, EXAMPLES)
 
     @settings(max_examples=EXAMPLES)
-    @given(st.tuples(LIFE_IDS, UNUSABLE))
+    @given(st.tuples(WORKER_IDS, UNUSABLE))
     def test_an_unusable_report_is_never_taken(self, report: ForeignReport) -> None:
         observer = Observer()
         registration = PlatformRegistration(settings=make_settings(), observer=observer)
-        self.assertRaises(ForeignInput, registration.take, *report)
-        self.assertEqual([], observer.lives)
+        self.assertRaises(ForeignInput, registration.handle_report, *report)
+        self.assertEqual([], observer.incarnations)
--- a/tests/platform/test_foreign_row_properties.py
+++ b/tests/platform/test_foreign_row_properties.py
@@ -1,4 +1,4 @@
-"""Foreign rows of any kind, beside and over those of operators and entries, change nothing."""
+"""Foreign rows of any kind, added to valid rows or overwriting them, have no effect."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from dalemast.fleet.entry.configuration import ConfigurationInForce
 from dalemast.observability import Metrics
 from dalemast.platform.foreign import read_json
-from dalemast.platform.rows import RowReader, TableNews
+from dalemast.platform.rows import RowReader, TableUpdate
 from dalemast.platform.wire import FeedResponse
 from tests.fleet.base import make_configuration
 
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Own:
-    """What an operator or an entry does: write or remove the row of a key."""
+    """A valid write or removal of a row by an operator or an entry."""
 
     table: str
     key: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Foreign:
-    """What another writer does. ``value`` goes over a key; ``raw`` is a whole row beside it."""
+    """A foreign write: ``value`` overwrites the row of a key; ``raw`` is an additional row."""
 
     table: str
     key: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Reread:
-    """The history is forgotten, and both tables are read anew."""
+    """The store's history is lost, so that both tables are read again."""
 
 
 def encode(document: object) -> str:
@@ -72,7 +72,7 @@
 
 
 def make_document(key: str, version: int) -> Any:
-    """Return what its own writer puts under a key."""
+    """Return the valid document of a key."""
     if key == CONFIG:
         return make_configuration(version, attempts=1 + version % 3)
     if key in EVACUATION_KEYS:
@@ -85,7 +85,7 @@
 
 
 def spoil_row(table: str, row: tuple[str, Any]) -> bytes:
-    """Return the JSON of a row that would change much, but for one field that is as given."""
+    """Return a configuration row as JSON, with one field replaced by an invalid value."""
     name, value = row
     document = encode(make_configuration(10**6))
     whole = {"table": table, "part": "", "key": CONFIG, "value": document, "ver": 10**6}
@@ -186,7 +186,7 @@
 
 @dataclass(kw_only=True)
 class Reader:
-    """What an entry knows that follows the store."""
+    """The state of an entry that follows the store."""
 
     configuration: ConfigurationInForce = field(default_factory=ConfigurationInForce)
     members: set[Member] = field(default_factory=set)
@@ -197,11 +197,11 @@
         self._view = EvacuationView()
 
     def read(self, table: str, raw_rows: Iterable[bytes], *, version: int, is_whole: bool) -> None:
-        """Take in one answer of the store."""
+        """Apply one response of the store."""
         body = b'{"rows":[%b],"ver":%d}' % (b",".join(raw_rows), version)
         feed = read_json(body, FeedResponse)
         rows = self._rows.read_rows(table, feed.rows)
-        news = TableNews(rows=rows, version=feed.ver, is_whole=is_whole)
+        news = TableUpdate(rows=rows, version=feed.ver, is_whole=is_whole)
         if table == ENTRIES:
             self.members |= set(self._rows.read_members(news))
             return
@@ -211,12 +211,12 @@
 
     @property
     def known(self) -> tuple[Configuration | None, frozenset[str], set[Member]]:
-        """The configuration in force, the evacuations, and the entries."""
+        """Return the configuration in force, the evacuations and the entries."""
         return self.configuration.current, self._view.data_centres, self.members
 
 
 class Store:
-    """Rows by table and key, as JSON."""
+    """Store of JSON rows by table and key."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -242,7 +242,7 @@
 
 
 def play(steps: list[Own | Foreign | Reread]) -> list[Any]:
-    """Return what an entry knows after each step."""
+    """Return the state of an entry after each step."""
     store, reader, known = Store(), Reader(), []
     for step in steps:
         store.version += 1
@@ -268,7 +268,7 @@
 
 
 def leave_out_foreign(steps: list[Own | Foreign | Reread]) -> list[Own | Foreign | Reread]:
-    """Return the steps with a harmless one in place of each foreign one."""
+    """Return the steps with each foreign one replaced by one without effect."""
     idle = Own(table=OPERATORS, key="other", is_removed=True)
     return [idle if isinstance(step, Foreign) else step for step in steps]
 
--- a/tests/platform/test_registration.py
+++ b/tests/platform/test_registration.py
@@ -1,4 +1,4 @@
-"""What an agent takes from the reports of the worker on its host."""
+"""What a registration passes to its observer from a worker's report."""
 
 from __future__ import annotations
 
@@ -7,26 +7,28 @@
 
 from dalemast.core.supervision import WorkerIncarnation
 from dalemast.platform import PlatformRegistration
-from tests.platform.reports import LIFE, Observer, make_report, make_settings
+from tests.platform.reports import WORKER_ID, Observer, make_report, make_settings
 
 
 class ReportTests(testtools.TestCase):
-    def take(self, report: dict[str, object]) -> list[WorkerIncarnation]:
+    def get_reported(self, report: dict[str, object]) -> list[WorkerIncarnation]:
         observer = Observer()
         registration = PlatformRegistration(settings=make_settings(), observer=observer)
-        registration.take(LIFE, msgspec.json.encode(report))
-        return observer.lives
+        registration.handle_report(WORKER_ID, msgspec.json.encode(report))
+        return observer.incarnations
 
-    def test_the_clock_that_a_report_tells_changes_nothing(self) -> None:
-        """Another writer may send it; leases count on the clock that the worker's answers tell."""
-        lives = [self.take(make_report(clock_ms=clock_ms)) for clock_ms in (1.0, 482113.0)]
-        self.assertEqual(lives[0], lives[1])
+    def test_the_clock_in_a_report_is_ignored(self) -> None:
+        """The report may be foreign. Leases rely on the clock in the worker's responses only."""
+        incarnations = [
+            self.get_reported(make_report(clock_ms=clock_ms)) for clock_ms in (1.0, 482113.0)
+        ]
+        self.assertEqual(incarnations[0], incarnations[1])
 
-    def test_a_report_need_not_tell_a_clock(self) -> None:
+    def test_a_report_may_omit_the_clock(self) -> None:
         report = make_report()
         del report["clock_ms"]
-        self.assertEqual(self.take(make_report()), self.take(report))
+        self.assertEqual(self.get_reported(make_report()), self.get_reported(report))
 
-    def test_the_time_that_is_left_is_told_in_seconds(self) -> None:
-        (life,) = self.take(make_report(state="draining", remaining_ms=2000))
-        self.assertEqual(2.0, life.remaining_s)
+    def test_the_remaining_time_is_converted_to_seconds(self) -> None:
+        (incarnation,) = self.get_reported(make_report(state="draining", remaining_ms=2000))
+        self.assertEqual(2.0, incarnation.remaining_s)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The adapter's reading of tables: pages, feeds, and what operators declare."""
+"""Client of the store: pages, feeds and operators' declarations."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class Listener:
-    """Notes what it hears, in order."""
+    """Observer that records the declarations it receives, in order."""
 
     def __init__(self) -> None:
-        self.heard: list[Any] = []
+        self.received: list[Any] = []
 
     def handle_evacuations(self, changes: EvacuationChanges) -> None:
-        self.heard.append(changes)
+        self.received.append(changes)
 
     def handle_configuration(self, configuration: Any) -> None:
-        self.heard.append(configuration.version)
+        self.received.append(configuration.version)
 
     def count_begun(self, data_centre: str) -> int:
-        """Return how many answers named an evacuation."""
-        changes = [one for one in self.heard if isinstance(one, EvacuationChanges)]
+        """Return the number of changes that start the evacuation of a data centre."""
+        changes = [one for one in self.received if isinstance(one, EvacuationChanges)]
         return sum(data_centre in one.begun for one in changes)
 
 
 class PlatformStoreTests(AsyncTestCase):
-    def test_a_table_of_several_pages_is_read_in_whole(self) -> None:
+    def test_a_table_of_several_pages_is_read_completely(self) -> None:
         async def run() -> None:
             store = EmulatedStore(address="127.0.0.1:0")
             store.start()
@@ -64,7 +64,7 @@
 
         self.run_async(run())
 
-    def test_evacuations_are_told_before_the_configuration_of_the_same_answer(self) -> None:
+    def test_evacuations_are_reported_before_the_configuration_of_the_same_response(self) -> None:
         async def run() -> None:
             store = EmulatedStore(address="127.0.0.1:0")
             store.start()
@@ -74,13 +74,13 @@
             listener = Listener()
             client = PlatformStore(settings=StoreSettings(store.address))
             watch = asyncio.create_task(client.watch_declarations(listener))
-            await wait_until(lambda: 7 in listener.heard, "the configuration")
-            first, second = listener.heard[:2]
+            await wait_until(lambda: 7 in listener.received, "the configuration")
+            first, second = listener.received[:2]
             expected = EvacuationChanges(version=3, begun=frozenset({"waco"}), is_whole=True)
             self.assertEqual((expected, 7), (first, second))
             store.drop("op", "evacuate/waco")
-            await wait_until(lambda: len(listener.heard) > 2, "the withdrawal")
-            self.assertEqual(frozenset({"waco"}), listener.heard[2].ended)
+            await wait_until(lambda: len(listener.received) > 2, "the withdrawal")
+            self.assertEqual(frozenset({"waco"}), listener.received[2].ended)
             watch.cancel()
             await store.close()
 
--- a/tests/platform/test_worker.py
+++ b/tests/platform/test_worker.py
@@ -1,4 +1,4 @@
-"""The adapter's calls to a worker, against the stand-in: outcomes, clocks, tokens, lives."""
+"""Calls to an emulated worker: outcomes, clocks, fences and incarnations."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 LEASE_S = 0.6
 SLACK_S = 10.0
-"""No test here is about how long a look takes. Worker and adapter share a loop, and on a crowded
-host it may stand still for longer than an agent would wait."""
+"""Time for the response to a poll beyond its wait, in seconds. Long, since the worker and the
+driver share an event loop, which may stall on a busy host."""
 
 
 def make_request(job_id: str = "00000000000000aa", run: int = 1, run_s: float = 0.05):
@@ -41,8 +41,8 @@
     )
 
 
-def always() -> float:
-    """Let the worker run on for as long as the lease is."""
+def get_unlimited() -> float:
+    """Return a limit that allows the whole lease."""
     return float("inf")
 
 
@@ -51,7 +51,7 @@
 
 
 class DriverTestCase(AsyncTestCase):
-    """Plays a scenario with the adapter and a stand-in of a worker."""
+    """Base class of tests that run a scenario with a driver and an emulated worker."""
 
     def play(self, scenario) -> None:
         async def run() -> None:
@@ -65,7 +65,7 @@
             worker.start()
             settings = SimpleNamespace(worker=SimpleNamespace(address=worker.address))
             driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-            driver.register(make_life(worker.life_id))
+            driver.register(make_incarnation(worker.life_id))
             try:
                 await scenario(worker, driver)
             finally:
@@ -75,128 +75,132 @@
 
 
 class DriverTests(DriverTestCase):
-    def test_a_run_is_listed_and_its_end_is_told_once(self) -> None:
+    def test_a_run_is_listed_and_its_end_is_reported_once(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             request = make_request(run_s=0.3)
-            self.assertIs(StartOutcome.RUNNING, await driver.start(request, get_limit=always))
-            look = await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
-            self.assertEqual([request.run_id], [row.run_id for row in look.running])
-            look = await driver.poll(plan(wait_s=2.0, renews=True), limit=always())
+            self.assertIs(
+                StartOutcome.RUNNING, await driver.start(request, get_limit=get_unlimited)
+            )
+            result = await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
+            self.assertEqual([request.run_id], [row.run_id for row in result.running])
+            result = await driver.poll(plan(wait_s=2.0, renews=True), limit=get_unlimited())
             self.assertEqual(
-                [(request.run_id, EndReason.DONE)], [(e.run_id, e.reason) for e in look.ended]
+                [(request.run_id, EndReason.DONE)], [(e.run_id, e.reason) for e in result.ended]
             )
             self.assertEqual(
-                (), (await driver.poll(plan(wait_s=0.0, renews=True), limit=always())).ended
+                (), (await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())).ended
             )
 
         self.play(scenario)
 
-    def test_a_used_run_number_is_told(self) -> None:
+    def test_a_used_run_number_is_reported(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             request = make_request()
             self.assertTrue(await driver.stop(request.run_id))
-            self.assertIs(StartOutcome.RUN_USED, await driver.start(request, get_limit=always))
+            self.assertIs(
+                StartOutcome.RUN_USED, await driver.start(request, get_limit=get_unlimited)
+            )
 
         self.play(scenario)
 
-    def test_a_lease_that_is_not_renewed_ends_what_runs(self) -> None:
+    def test_a_lease_that_is_not_renewed_ends_its_runs(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
-            await driver.start(make_request(run_s=30.0), get_limit=always)
-            look = await driver.poll(plan(wait_s=1.9, renews=False), limit=always())
-            self.assertEqual([EndReason.STOPPED], [end.reason for end in look.ended])
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
+            await driver.start(make_request(run_s=30.0), get_limit=get_unlimited)
+            result = await driver.poll(plan(wait_s=1.9, renews=False), limit=get_unlimited())
+            self.assertEqual([EndReason.STOPPED], [end.reason for end in result.ended])
 
         self.play(scenario)
 
     def test_a_start_joins_the_lease_while_enough_of_it_is_left(self) -> None:
-        """Renewed by starts, the lease of a worker that has fallen silent would go on."""
+        """If starts renewed it, the lease of an unresponsive worker would not expire."""
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
-            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
             leased_until = driver.leased_until
-            await driver.start(make_request(), get_limit=always)
+            await driver.start(make_request(), get_limit=get_unlimited)
             self.assertEqual(leased_until, driver.leased_until)
             await asyncio.sleep(LEASE_S)
-            await driver.start(make_request(run=2), get_limit=always)
+            await driver.start(make_request(run=2), get_limit=get_unlimited)
             self.assertGreater(driver.leased_until, leased_until)
 
         self.play(scenario)
 
-    def test_another_life_at_the_address_is_noticed(self) -> None:
+    def test_another_incarnation_at_the_address_is_detected(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            driver.register(make_life("i-gone"))
+            driver.register(make_incarnation("i-gone"))
             self.assertIs(
-                StartOutcome.WRONG_LIFE, await driver.start(make_request(), get_limit=always)
+                StartOutcome.WRONG_LIFE, await driver.start(make_request(), get_limit=get_unlimited)
             )
             with self.assertRaises(WorkerReplaced):
-                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
 
         self.play(scenario)
 
-    def test_a_dead_worker_and_a_silent_one_are_told_apart(self) -> None:
+    def test_a_dead_worker_is_distinguished_from_an_unresponsive_one(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             worker.set_faults(late_orders=1.0)
             self.assertIs(
-                StartOutcome.UNANSWERED, await driver.start(make_request(), get_limit=always)
+                StartOutcome.UNANSWERED, await driver.start(make_request(), get_limit=get_unlimited)
             )
             await worker.crash()
             with self.assertRaises(WorkerGone):
-                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
 
         self.play(scenario)
 
-    def test_a_higher_token_that_the_worker_has_seen_is_passed(self) -> None:
+    def test_the_fence_is_raised_if_the_worker_has_seen_a_higher_one(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             later = PlatformWorkerDriver(
                 settings=SimpleNamespace(worker=SimpleNamespace(address=worker.address)),
                 lease_s=LEASE_S,
             )
-            later._fence += 1000  # as after a step of the clock
-            later.register(make_life(worker.life_id))
-            await later.poll(plan(wait_s=0.0, renews=False), limit=always())
+            later._fence += 1000  # as if the clock had been set back since
+            later.register(make_incarnation(worker.life_id))
+            await later.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             with self.assertRaises(WorkerUnanswered):
-                await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+                await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             self.assertIs(
-                StartOutcome.RUNNING, await driver.start(make_request(), get_limit=always)
+                StartOutcome.RUNNING, await driver.start(make_request(), get_limit=get_unlimited)
             )
 
         self.play(scenario)
 
 
-class SilentClient:
-    """Answers nothing, and lets something happen after the first request."""
+class UnresponsiveClient:
+    """Client whose requests all fail, and that calls ``then`` after the first one."""
 
     def __init__(self, then: Callable[[], None]) -> None:
-        self.lives: list[str] = []
+        self.incarnations: list[str] = []
         self._then = then
 
     async def request(self, *args: object, headers: dict[str, str], **kwargs: object) -> None:
-        self.lives.append(headers[EXPECTED_INCARNATION_HEADER])
-        if len(self.lives) == 1:
+        self.incarnations.append(headers[EXPECTED_INCARNATION_HEADER])
+        if len(self.incarnations) == 1:
             self._then()
         raise HttpFailure("no answer", is_unreachable=False)
 
 
-class LivesTests(AsyncTestCase):
-    def test_an_unanswered_start_is_not_said_again_to_a_later_life(self) -> None:
-        """The owner is told that the run ended with its life and starts it elsewhere."""
+class IncarnationTests(AsyncTestCase):
+    def test_an_unanswered_start_is_not_retried_with_a_later_incarnation(self) -> None:
+        """The owner starts the run elsewhere, since it ended with the earlier incarnation."""
         settings = SimpleNamespace(worker=SimpleNamespace(address="127.0.0.1:9"))
         driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-        client = SilentClient(then=lambda: driver.register(make_life("second")))
+        client = UnresponsiveClient(then=lambda: driver.register(make_incarnation("second")))
         driver._orders = client
-        driver.register(make_life("first"))
-        outcome = self.run_async(driver.start(make_request(), get_limit=always))
+        driver.register(make_incarnation("first"))
+        outcome = self.run_async(driver.start(make_request(), get_limit=get_unlimited))
         self.assertIs(StartOutcome.UNANSWERED, outcome)
-        self.assertEqual({"first"}, set(client.lives))
-        self.assertGreater(len(client.lives), 1)
+        self.assertEqual({"first"}, set(client.incarnations))
+        self.assertGreater(len(client.incarnations), 1)
 
 
-class RebornTests(AsyncTestCase):
-    """The worker begins anew under its id; what was meant for its life before must not reach it."""
+class RestartedWorkerTests(AsyncTestCase):
+    """Calls to the earlier incarnation must not reach a worker that restarts with the same id."""
 
     def play(self, scenario) -> None:
         async def run() -> None:
@@ -211,7 +215,7 @@
             worker.start()
             settings = SimpleNamespace(worker=SimpleNamespace(address=worker.address))
             driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-            driver.register(make_life(worker.life_id))
+            driver.register(make_incarnation(worker.life_id))
             try:
                 await scenario(worker, driver)
             finally:
@@ -220,58 +224,66 @@
         self.run_async(run())
 
     async def end_runs(self, driver: PlatformWorkerDriver, count: int) -> None:
-        """Let some runs end, and take note of their ends."""
-        await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+        """Start some runs and poll until they have ended."""
+        await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
         for number in range(count):
             request = make_request(job_id=f"{number:016x}", run_s=0.01)
-            self.assertIs(StartOutcome.RUNNING, await driver.start(request, get_limit=always))
-            while not (await driver.poll(plan(wait_s=1.0, renews=True), limit=always())).ended:
+            self.assertIs(
+                StartOutcome.RUNNING, await driver.start(request, get_limit=get_unlimited)
+            )
+            while not (
+                await driver.poll(plan(wait_s=1.0, renews=True), limit=get_unlimited())
+            ).ended:
                 pass
 
-    def test_a_look_finds_that_the_life_is_over(self) -> None:
+    def test_a_poll_detects_that_the_incarnation_has_ended(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             await self.end_runs(driver, 3)
             await worker.crash()
             worker.start()
             with self.assertRaises(WorkerReplaced):
-                # The kept connection has ended with the life; the one after it is greeted.
+                # The open connection ended with the incarnation. The next one identifies the new.
                 with contextlib.suppress(WorkerUnanswered):
-                    await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
-                await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+                    await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
+                await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
 
         self.play(scenario)
 
-    def test_a_start_for_the_life_before_does_not_begin(self) -> None:
+    def test_a_start_for_the_earlier_incarnation_is_not_carried_out(self) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             await self.end_runs(driver, 1)
             await worker.crash()
             worker.start()
-            outcome = await driver.start(make_request(run=7), get_limit=always)
+            outcome = await driver.start(make_request(run=7), get_limit=get_unlimited)
             self.assertIn(outcome, (StartOutcome.NOT_LISTENING, StartOutcome.UNANSWERED))
             self.assertEqual(set(), worker.active_tasks)
 
         self.play(scenario)
 
-    def test_ends_of_the_next_life_are_told_though_their_numbers_were_seen(self) -> None:
+    def test_ends_of_the_next_incarnation_are_reported_though_their_numbers_are_reused(
+        self,
+    ) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             await self.end_runs(driver, 3)
             await worker.crash()
             worker.start()
             for _ in range(2):
                 with contextlib.suppress(WorkerUnanswered, WorkerReplaced):
-                    await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
-            driver.register(make_life(worker.life_id))
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+                    await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
+            driver.register(make_incarnation(worker.life_id))
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             await self.end_runs(driver, 3)
 
         self.play(scenario)
 
-    def test_what_an_earlier_life_was_told_late_is_barred_once_the_next_has_answered(self) -> None:
+    def test_late_calls_to_an_earlier_incarnation_are_fenced_off_once_the_next_has_responded(
+        self,
+    ) -> None:
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             before = driver._fence
-            driver.register(make_life(worker.life_id))
-            await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+            driver.register(make_incarnation(worker.life_id))
+            await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
             late = {"task": "00000000000000aa.0.0.0", "run": 1, "spec": "", "until_ms": 10**9}
             _, answer = await worker.take_call(CallKind.START, {**late, "fence": before})
             self.assertEqual("fence", answer.reason)
@@ -279,17 +291,17 @@
         self.play(scenario)
 
 
-class NothingListensTests(AsyncTestCase):
-    def test_a_start_that_no_worker_can_have_seen_has_not_begun(self) -> None:
+class NotListeningTests(AsyncTestCase):
+    def test_a_start_without_a_listening_worker_has_not_run(self) -> None:
         settings = SimpleNamespace(worker=SimpleNamespace(address=find_address()))
         driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-        driver.register(make_life("first"))
-        outcome = self.run_async(driver.start(make_request(), get_limit=always))
+        driver.register(make_incarnation("first"))
+        outcome = self.run_async(driver.start(make_request(), get_limit=get_unlimited))
         self.assertIs(StartOutcome.NOT_LISTENING, outcome)
 
 
-class AnsweringClient:
-    """Gives the answers that it was made with, one a request; None is no answer."""
+class ScriptedClient:
+    """Client that returns the given responses in order. None is a request without a response."""
 
     def __init__(self, *answers: tuple[int, str] | None) -> None:
         self.calls: list[StartCall] = []
@@ -304,47 +316,47 @@
         return JsonResponse(status=status, body=msgspec.json.encode({"reason": reason}))
 
 
-class TriesTests(AsyncTestCase):
-    """A start whose first try stays unanswered: that try may be carried out yet."""
+class RetryTests(AsyncTestCase):
+    """A start whose first try is unanswered may still be carried out by the worker."""
 
     def order(
         self, *answers: tuple[int, str] | None, limits: tuple[float, ...] = ()
-    ) -> tuple[StartOutcome, AnsweringClient]:
+    ) -> tuple[StartOutcome, ScriptedClient]:
         settings = SimpleNamespace(worker=SimpleNamespace(address="127.0.0.1:9"))
         driver = PlatformWorkerDriver(settings=settings, lease_s=LEASE_S)
-        client = driver._orders = AnsweringClient(*answers)
+        client = driver._orders = ScriptedClient(*answers)
         left = list(limits)
-        get_limit = (lambda: left.pop(0)) if limits else always
+        get_limit = (lambda: left.pop(0)) if limits else get_unlimited
         return self.run_async(driver.start(make_request(), get_limit=get_limit)), client
 
-    def test_a_try_that_finds_no_room_says_nothing_of_an_earlier_one(self) -> None:
+    def test_a_rejection_for_lack_of_capacity_does_not_settle_an_earlier_try(self) -> None:
         for answer in ((409, "room"), (429, ""), (503, "")):
             outcome, _ = self.order(None, answer)
             self.assertIs(StartOutcome.UNANSWERED, outcome)
 
-    def test_a_late_or_wrong_address_says_nothing_of_an_earlier_try(self) -> None:
+    def test_a_rejection_as_late_or_misdirected_does_not_settle_an_earlier_try(self) -> None:
         for answer in ((409, "late"), (421, "")):
             outcome, _ = self.order(None, answer)
             self.assertIs(StartOutcome.UNANSWERED, outcome)
 
-    def test_without_an_earlier_try_they_say_that_it_never_ran(self) -> None:
+    def test_a_rejected_first_try_has_not_run(self) -> None:
         outcomes = [self.order(answer)[0] for answer in ((409, "late"), (421, ""))]
         self.assertEqual([StartOutcome.EXPIRED, StartOutcome.WRONG_LIFE], outcomes)
 
-    def test_a_start_that_is_not_wanted_any_more_is_not_said_again(self) -> None:
+    def test_a_start_that_is_no_longer_needed_is_not_retried(self) -> None:
         outcome, client = self.order(None, (200, ""), limits=(float("inf"), float("-inf")))
         self.assertIs(StartOutcome.UNANSWERED, outcome)
         self.assertEqual(1, len(client.calls))
 
-    def test_a_start_that_was_never_said_has_not_run(self) -> None:
+    def test_a_start_that_was_never_sent_has_not_run(self) -> None:
         outcome, client = self.order(limits=(float("-inf"),))
         self.assertIs(StartOutcome.EXPIRED, outcome)
         self.assertEqual([], client.calls)
 
 
-def make_life(life_id: str) -> WorkerIncarnation:
+def make_incarnation(incarnation_id: str) -> WorkerIncarnation:
     return WorkerIncarnation(
-        id=life_id,
+        id=incarnation_id,
         service="floor",
         data_centre="austin",
         capacity=Resources(cpu=4000, memory_mb=1000),
@@ -353,11 +365,11 @@
     )
 
 
-class DoubtTests(DriverTestCase):
-    """What must not be taken from an answer, or from none."""
+class InconclusiveResponseTests(DriverTestCase):
+    """Responses and failures that must not be taken as proof that a run or a worker ended."""
 
-    def test_a_failure_of_this_hosts_own_does_not_say_that_the_worker_is_gone(self) -> None:
-        """Two such in a row end its life, and all its runs are placed again at once."""
+    def test_a_local_network_failure_does_not_mean_that_the_worker_is_gone(self) -> None:
+        """Otherwise two failures in a row would end the incarnation and restart all its runs."""
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
             loop = asyncio.get_running_loop()
@@ -365,7 +377,7 @@
                 failure = OSError(number, "no")
                 with mock.patch.object(loop, "create_connection", side_effect=failure):
                     try:
-                        await driver.poll(plan(wait_s=0.0, renews=False), limit=always())
+                        await driver.poll(plan(wait_s=0.0, renews=False), limit=get_unlimited())
                     except WorkerUnanswered:
                         continue
                     except WorkerGone as error:
@@ -373,42 +385,44 @@
 
         self.play(scenario)
 
-    def check_after_silence(self, status: int, reason: str) -> None:
-        """Check that a further try's answer says nothing of an earlier one without an answer.
+    def check_after_unanswered(self, status: int, reason: str) -> None:
+        """Check that the response to a retry does not settle an earlier, unanswered try.
 
-        That one may have been carried out, so that its run must not be told as never begun.
+        That try may have started the run, which must not be reported as never started.
         """
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
             body = msgspec.json.encode({"clock_ms": 1.0, "reason": reason})
-            silence = HttpFailure("no answer in time", is_unreachable=False)
-            answers = [silence, JsonResponse(status=status, body=body)]
+            unanswered = HttpFailure("no answer in time", is_unreachable=False)
+            answers = [unanswered, JsonResponse(status=status, body=body)]
             with mock.patch.object(driver._orders, "request", side_effect=answers):
-                outcome = await driver.start(make_request(), get_limit=always)
+                outcome = await driver.start(make_request(), get_limit=get_unlimited)
             self.assertIs(StartOutcome.UNANSWERED, outcome)
 
         self.play(scenario)
 
-    def test_another_life_that_answers_a_further_try_does_not_say_that_none_was_done(self) -> None:
-        self.check_after_silence(421, "")
+    def test_a_retry_that_reaches_another_incarnation_does_not_settle_an_earlier_try(self) -> None:
+        self.check_after_unanswered(421, "")
 
-    def test_a_further_try_that_is_too_late_does_not_say_that_none_was_done(self) -> None:
-        """The pages don't say that a worker looks for the run before it looks at the time."""
-        self.check_after_silence(409, "late")
+    def test_a_retry_that_is_too_late_does_not_settle_an_earlier_try(self) -> None:
+        """A worker may check the time before it checks whether the run has started."""
+        self.check_after_unanswered(409, "late")
 
-    def test_an_earlier_lifes_answer_says_nothing_of_the_present_one(self) -> None:
-        """Ends of the present life would be acknowledged unseen, and its lease counted by the
-        clock of another."""
+    def test_a_response_of_an_earlier_incarnation_is_ignored(self) -> None:
+        """Otherwise unseen ends of the present incarnation would be acknowledged, and its lease
+        would be computed with another one's clock."""
 
         async def scenario(worker: EmulatedWorker, driver: PlatformWorkerDriver) -> None:
-            await driver.poll(plan(wait_s=0.0, renews=True), limit=always())
-            await driver.start(make_request(run_s=0.1), get_limit=always)
-            look = asyncio.create_task(driver.poll(plan(wait_s=0.5, renews=True), limit=always()))
+            await driver.poll(plan(wait_s=0.0, renews=True), limit=get_unlimited())
+            await driver.start(make_request(run_s=0.1), get_limit=get_unlimited)
+            result = asyncio.create_task(
+                driver.poll(plan(wait_s=0.5, renews=True), limit=get_unlimited())
+            )
             await asyncio.sleep(0.02)
-            driver.register(make_life("i-next"))
+            driver.register(make_incarnation("i-next"))
             with contextlib.suppress(WorkerUnanswered, WorkerReplaced):
-                await look
+                await result
             self.assertEqual((0, False), (driver._ends_seen, driver._clock.is_known))
 
         self.play(scenario)
