--- a/dalemast/platform/__init__.py
+++ b/dalemast/platform/__init__.py
@@ -1,6 +1,7 @@
 """Adapter to the hosting platform: translates its messages and calls, without any policy.
 
-Only this package uses the platform's names. Settings refer to its classes by dotted path.
+Only this package and the emulator use the platform's names. Settings refer to its classes by dotted
+path.
 """
 
 from dalemast.platform.ingress import PlatformIngress
--- a/dalemast/platform/foreign.py
+++ b/dalemast/platform/foreign.py
@@ -1,8 +1,8 @@
 """Decodes and validates everything that is received from outside.
 
-Processes other than this host's worker may send reports under its id, and others than operators and
-entries may write rows to the store. Input that is invalid, or not meant for this process, raises
-:class:`ForeignInput`. Callers then keep their previous state.
+Input is foreign if it comes from an unexpected sender: a report that this host's worker did not
+send, or a row of the store that no operator or entry wrote. Input that is invalid, or recognized as
+foreign, raises :class:`ForeignInput`. Callers then keep their previous state.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class ForeignInput(Exception):
-    """Input from outside is rejected. ``detail`` names the field or value at fault."""
+    """Raised for input that is rejected. ``detail`` names the field or value at fault."""
 
     def __init__(self, fault: Fault, detail: str) -> None:
         super().__init__(f"{fault.value}: {detail}")
--- a/dalemast/platform/report_sequences.py
+++ b/dalemast/platform/report_sequences.py
@@ -2,8 +2,8 @@
 
 An incarnation always reports the same service and labels, and its report numbers rise. Reports that
 do not continue the accepted sequence are rejected, unless they turn out to be the worker's own: a
-candidate sequence replaces the accepted one when it continues while the accepted one does not. A
-foreign report thus cannot displace the worker, and one that arrived first is soon replaced.
+candidate sequence replaces the accepted one if several of its reports arrive in a row. A foreign
+report thus cannot displace the worker, and one that arrived first is soon replaced.
 
 A changed capacity is accepted with the second report in a row that declares a change, a second or
 more after the first. The worker's own reports in between contradict a foreign one.
@@ -138,7 +138,7 @@
             self._is_restored = self._is_restored or is_accepted
 
     def accept(self, properties: WorkerProperties, number: int, *, now: float) -> bool:
-        """Return whether a report is newer; raises :class:`ForeignInput` if it is foreign."""
+        """Record a report; return whether it is newer. Raises :class:`ForeignInput` if foreign."""
         limit = self._number + MAX_NUMBER_GAP + MAX_NUMBERS_PER_S * (now - self._accepted_at)
         is_next = self._number < number <= limit
         if properties == self._properties and is_next:
@@ -209,7 +209,7 @@
         is_leaving: bool,
         now: float,
     ) -> bool:
-        """Return whether a report is newer; raises :class:`ForeignInput` if it is foreign."""
+        """Record a report; return whether it is newer. Raises :class:`ForeignInput` if foreign."""
         sequence = self._sequences.get(incarnation_id)
         if sequence is None:
             self._check_start_time(incarnation_id, properties, number, now)
@@ -224,7 +224,7 @@
         self._sequences[incarnation_id].record_deregistration()
 
     def is_restored(self, incarnation_id: str) -> bool:
-        """Return whether an incarnation's last report proved earlier ones foreign."""
+        """Return whether the last report proved the deregistration or earlier reports foreign."""
         sequence = self._sequences.get(incarnation_id)
         return sequence is not None and sequence.is_restored
 
