--- a/dalemast/bench/slopes.py
+++ b/dalemast/bench/slopes.py
@@ -183,7 +183,7 @@
     pool.update(endpoints)
     for view in pool.get_views():
         view.open_session(session="s", slots=8)
-        view.take_report(load=Load(running=2), now=0.0)
+        view.handle_report(load=Load(running=2), now=0.0)
     return pool
 
 
--- a/dalemast/core/clocks.py
+++ b/dalemast/core/clocks.py
@@ -5,21 +5,21 @@
 from collections import deque
 from typing import NamedTuple
 
-__all__ = ["LeastLead"]
+__all__ = ["MinClockLead"]
 
-REMEMBERED_S = 30.0
+RETENTION_S = 30.0
 """How long a lead counts once there are later ones. Should the clocks part faster than assumed, one
 that was shown long ago would outvote all later ones, and err by more each second."""
 
 
-class ShownLead(NamedTuple):
+class ObservedLead(NamedTuple):
     """A lead that a message has shown, and when."""
 
     lead_s: float
     at: float
 
 
-class LeastLead:
+class MinClockLead:
     """The least by which one steady clock is ahead of another, in seconds.
 
     A message shows it when it arrives: the sender's clock reads what it says, or more by now. How
@@ -29,26 +29,26 @@
 
     def __init__(self, *, drift: float) -> None:
         self._drift = drift
-        self._shown: deque[ShownLead] = deque()
+        self._observed: deque[ObservedLead] = deque()
         """The first is the greatest by now; each later one is the greatest of those after it."""
 
     @property
     def is_known(self) -> bool:
         """Whether anything has been shown yet."""
-        return bool(self._shown)
+        return bool(self._observed)
 
-    def show(self, lead_s: float, *, now: float) -> None:
+    def observe(self, lead_s: float, *, now: float) -> None:
         """Take in a lead that a message has shown."""
-        while self._shown and self._count(self._shown[-1], now) <= lead_s:
-            self._shown.pop()
-        self._shown.append(ShownLead(lead_s, now))
-        while now - self._shown[0].at > REMEMBERED_S:
-            self._shown.popleft()
+        while self._observed and self._get_aged_lead(self._observed[-1], now) <= lead_s:
+            self._observed.pop()
+        self._observed.append(ObservedLead(lead_s, now))
+        while now - self._observed[0].at > RETENTION_S:
+            self._observed.popleft()
 
     def get(self, *, now: float) -> float:
         """Return the least lead; minus infinity before the first message."""
-        return self._count(self._shown[0], now) if self._shown else float("-inf")
+        return self._get_aged_lead(self._observed[0], now) if self._observed else float("-inf")
 
-    def _count(self, shown: ShownLead, now: float) -> float:
+    def _get_aged_lead(self, observed: ObservedLead, now: float) -> float:
         """Return what a lead that was shown comes to by now."""
-        return shown.lead_s - self._drift * max(now - shown.at, 0.0)
+        return observed.lead_s - self._drift * max(now - observed.at, 0.0)
--- a/dalemast/core/dispatch/backlog.py
+++ b/dalemast/core/dispatch/backlog.py
@@ -62,7 +62,7 @@
         usage.queued_tasks -= len(job.waiting)
         usage.queued_bytes -= job.request.size_bytes
 
-    def note_taken(self, job: Job, count: int) -> None:
+    def record_taken(self, job: Job, count: int) -> None:
         """Note that waiting tasks of a queued job were taken to be sent."""
         self.get_usage(job.request.account).queued_tasks -= count
         if not job.waiting:
--- a/dalemast/core/dispatch/dispatching.py
+++ b/dalemast/core/dispatch/dispatching.py
@@ -8,7 +8,7 @@
 from dalemast.core.configuration import ConfigurationHolder
 from dalemast.core.dispatch.backlog import Backlog
 from dalemast.core.dispatch.jobs import Job
-from dalemast.core.dispatch.linkbook import LinkBook
+from dalemast.core.dispatch.link_registry import LinkRegistry
 from dalemast.core.placement import AccountHealth, Allotment, BasePlacement, WorkerPool
 from dalemast.core.verdicts import TaskState
 
@@ -26,12 +26,12 @@
         *,
         backlog: Backlog,
         pool: WorkerPool,
-        links: LinkBook,
+        links: LinkRegistry,
         health: AccountHealth,
         placement: BasePlacement,
         configuration: ConfigurationHolder,
         rng: random.Random,
-        on_hopeless: Callable[[Job], None],
+        on_infeasible: Callable[[Job], None],
     ) -> None:
         self._backlog = backlog
         self._pool = pool
@@ -40,7 +40,7 @@
         self._placement = placement
         self._configuration = configuration
         self._rng = rng
-        self._on_hopeless = on_hopeless
+        self._on_infeasible = on_infeasible
 
     def dispatch(self, *, now: float, entries: int) -> None:
         """Place tasks until nothing that waits has room; ``entries`` divide account limits."""
@@ -62,8 +62,8 @@
             )
             if id(candidates) in blocked:
                 continue
-            if self._is_hopeless(job, now):
-                self._on_hopeless(job)
+            if self._is_infeasible(job, now):
+                self._on_infeasible(job)
                 return True
             allotments = self._placement.choose(
                 count=min(len(job.waiting), allowance),
@@ -85,7 +85,7 @@
         limit = -(-declared.limits.running_tasks // entries)
         return limit - self._backlog.get_usage(account).running
 
-    def _is_hopeless(self, job: Job, now: float) -> bool:
+    def _is_infeasible(self, job: Job, now: float) -> bool:
         """Tell whether a job that has started nothing cannot be done in time any more."""
         if job.has_started_work:
             return False
@@ -103,8 +103,8 @@
             indexes = job.take_waiting(allotment.count)
             trial = health.note_sent(allotment.worker.name, len(indexes))
             for index in indexes:
-                job.move(index, TaskState.SENT)
+                job.set_state(index, TaskState.SENT)
                 link.add_start(job, index, trial=trial, now=now)
             usage.running += len(indexes)
             self._backlog.charge(job.request.account, expected * len(indexes))
-            self._backlog.note_taken(job, len(indexes))
+            self._backlog.record_taken(job, len(indexes))
--- a/dalemast/core/dispatch/forecasting.py
+++ b/dalemast/core/dispatch/forecasting.py
@@ -47,9 +47,9 @@
         observations = self._health.get(account.name).get_service(request.service)
         mean = observations.run_times.get_mean(ASSUMED_RUN_S)
         queued = self._backlog.get_usage(account.name).queued_tasks
-        missing = max(0, len(request.payloads) - self._count_free(slots, entries))
+        unstartable = max(0, len(request.payloads) - self._count_free(slots, entries))
         return Forecast(
-            queued_s=(queued + missing) * mean,
+            queued_s=(queued + unstartable) * mean,
             drain_rate=self._get_drain_rate(account, slots, entries),
             run_s=observations.run_times.get(HIGH_QUANTILE, ASSUMED_RUN_S),
         )
--- a/dalemast/core/dispatch/jobs.py
+++ b/dalemast/core/dispatch/jobs.py
@@ -9,7 +9,13 @@
 from dalemast.core.dispatch.base import JobRequest, JobResult
 from dalemast.core.exceptions import DalemastError
 from dalemast.core.selectors import Selector
-from dalemast.core.verdicts import ALLOWED_MOVES, IllegalMove, Run, TaskState, get_verdict
+from dalemast.core.verdicts import (
+    ALLOWED_TRANSITIONS,
+    IllegalTransition,
+    Run,
+    TaskState,
+    get_verdict,
+)
 
 __all__ = ["Job"]
 
@@ -68,11 +74,13 @@
         """Return the positions of the tasks that an agent holds."""
         return [i for i, state in enumerate(self._states) if state is TaskState.SENT]
 
-    def move(self, index: int, state: TaskState) -> None:
+    def set_state(self, index: int, state: TaskState) -> None:
         """Move a task; raises :class:`IllegalMove` where the table does not lead."""
         current = self._states[index]
-        if state not in ALLOWED_MOVES[current]:
-            raise IllegalMove(f"task {self.number}/{index} from {current.value} to {state.value}")
+        if state not in ALLOWED_TRANSITIONS[current]:
+            raise IllegalTransition(
+                f"task {self.number}/{index} from {current.value} to {state.value}"
+            )
         self._states[index] = state
         if state is TaskState.WAITING:
             self.waiting.append(index)
@@ -83,7 +91,7 @@
 
     def answer(self, index: int, value: msgspec.Raw) -> None:
         """Keep the answer of a task."""
-        self.move(index, TaskState.DONE)
+        self.set_state(index, TaskState.DONE)
         self._answers[index] = value
         self._missing -= 1
 
@@ -98,7 +106,7 @@
     def fail(self, error: DalemastError) -> JobResult:
         """Close the job without answers; what still waits is given up for good."""
         for index in self.waiting:
-            self.move(index, TaskState.REVOKED)
+            self.set_state(index, TaskState.REVOKED)
         self.waiting.clear()
         self.result = JobResult(
             job=self.number, account=self.request.account, run=self.run, error=error
--- a/dalemast/core/dispatch/linkbook.py
+++ b/dalemast/core/dispatch/link_registry.py
@@ -12,10 +12,10 @@
 from dalemast.core.dispatch.links import WorkerLink
 from dalemast.core.placement import WorkerPool, WorkerView
 
-__all__ = ["LinkBook"]
+__all__ = ["LinkRegistry"]
 
 
-class LinkBook:
+class LinkRegistry:
     """The links by the name of the endpoint.
 
     ``due`` are links with something to send, ``watched`` those with tasks out or with frames that
@@ -54,7 +54,7 @@
 
     def get_watched(self) -> list[WorkerLink]:
         """Return the linked ones that have to be looked at as time passes."""
-        for name in [n for n, link in self._watched.items() if not link.must_be_watched]:
+        for name in [n for n, link in self._watched.items() if not link.needs_watching]:
             del self._watched[name]
         return [link for link in self._watched.values() if link.view.is_linked]
 
@@ -62,12 +62,12 @@
         self._links[view.name] = WorkerLink(
             view=view,
             connections=self._connections,
-            on_due=self._note_due,
-            on_watched=self._note_watched,
+            on_due=self._add_due,
+            on_watched=self._add_watched,
         )
 
-    def _note_due(self, link: WorkerLink) -> None:
+    def _add_due(self, link: WorkerLink) -> None:
         self._due[link.view.name] = link
 
-    def _note_watched(self, link: WorkerLink) -> None:
+    def _add_watched(self, link: WorkerLink) -> None:
         self._watched[link.view.name] = link
--- a/dalemast/core/dispatch/links.py
+++ b/dalemast/core/dispatch/links.py
@@ -9,11 +9,11 @@
 from dalemast.core.placement import WorkerView
 from dalemast.core.wire import AgentFrame, EntryFrame, EntryHello, JobStart, TaskKey, TaskStart
 
-__all__ = ["Outstanding", "WorkerLink"]
+__all__ = ["OutstandingTask", "WorkerLink"]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Outstanding:
+class OutstandingTask:
     """A task that was sent and not resolved. ``sent_at`` is on the owner's clock, in seconds.
 
     ``trial`` is the number of the trial of its worker that it is for, or 0.
@@ -39,7 +39,7 @@
         self._on_due = on_due
         self._on_watched = on_watched
         self.view = view
-        self.outstanding: dict[tuple[int, int], Outstanding] = {}
+        self.outstanding: dict[tuple[int, int], OutstandingTask] = {}
         self.revoking: set[tuple[int, int]] = set()
         self.overdue: set[tuple[int, int]] = set()
         self.seen = 0
@@ -51,15 +51,15 @@
         self._jobs: dict[int, Job] = {}
         self._revokes: list[TaskKey] = []
         self._cancels: list[int] = []
-        self._must_confirm = False
+        self._is_confirmation_due = False
 
     @property
     def has_content(self) -> bool:
         """Whether something waits to be sent."""
-        return bool(self._starts or self._revokes or self._cancels or self._must_confirm)
+        return bool(self._starts or self._revokes or self._cancels or self._is_confirmation_due)
 
     @property
-    def must_be_watched(self) -> bool:
+    def needs_watching(self) -> bool:
         """Whether time can bring something about for this link."""
         return bool(self.outstanding) or self.is_unconfirmed
 
@@ -84,7 +84,7 @@
         key = (job.number, index)
         if key not in self.outstanding:
             self.view.own += 1
-        self.outstanding[key] = Outstanding(job=job, index=index, sent_at=now, trial=trial)
+        self.outstanding[key] = OutstandingTask(job=job, index=index, sent_at=now, trial=trial)
         self._starts.setdefault(job.number, []).append(index)
         self._jobs[job.number] = job
         self._on_due(self)
@@ -103,10 +103,10 @@
 
     def request_confirmation(self) -> None:
         """Send a frame even when it carries nothing but ``seen``."""
-        self._must_confirm = True
+        self._is_confirmation_due = True
         self._on_due(self)
 
-    def resolve(self, key: tuple[int, int]) -> Outstanding | None:
+    def resolve(self, key: tuple[int, int]) -> OutstandingTask | None:
         """Take a task off the books; None when it was not on them."""
         found = self.outstanding.pop(key, None)
         if found is not None:
@@ -130,7 +130,7 @@
         self._on_watched(self)
         return True
 
-    def reset_session(self, session: str) -> list[Outstanding]:
+    def reset_session(self, session: str) -> list[OutstandingTask]:
         """Begin a new session; return what the old one took with it."""
         lost = list(self.outstanding.values())
         for key in list(self.outstanding):
@@ -202,7 +202,7 @@
         self._jobs.clear()
         self._revokes.clear()
         self._cancels.clear()
-        self._must_confirm = False
+        self._is_confirmation_due = False
 
 
 def _with_tasks(start: JobStart, tasks: tuple[TaskStart, ...]) -> JobStart:
--- a/dalemast/core/dispatch/owner.py
+++ b/dalemast/core/dispatch/owner.py
@@ -24,8 +24,8 @@
 )
 from dalemast.core.dispatch.forecasting import ASSUMED_RUN_S, Forecaster
 from dalemast.core.dispatch.jobs import Job
-from dalemast.core.dispatch.linkbook import LinkBook
-from dalemast.core.dispatch.links import Outstanding, WorkerLink
+from dalemast.core.dispatch.link_registry import LinkRegistry
+from dalemast.core.dispatch.links import OutstandingTask, WorkerLink
 from dalemast.core.exceptions import DalemastError
 from dalemast.core.placement import (
     AccountHealth,
@@ -68,7 +68,7 @@
         self._policy = policy
         self._admission: BaseAdmission = get_admission(policy.admission)
         self._pool = WorkerPool()
-        self._links = LinkBook()
+        self._links = LinkRegistry()
         self._health = AccountHealth()
         self._backlog = Backlog()
         self._forecaster = Forecaster(backlog=self._backlog, health=self._health)
@@ -82,7 +82,7 @@
             ),
             configuration=configuration,
             rng=rng,
-            on_hopeless=self._end_hopeless,
+            on_infeasible=self._fail_infeasible,
         )
         self._retries = RetryBudget(rate_per_s=500.0, now=now)
         self._jobs: dict[int, Job] = {}
@@ -92,7 +92,7 @@
         self._must_dispatch = False
         self._entries = 1
         self._replaced_tasks = 0
-        self._parked: list[Job] = []
+        self._deferred_jobs: list[Job] = []
 
     @property
     def incarnation(self) -> str:
@@ -166,7 +166,7 @@
                 f"every endpoint for {request.service!r} is leaving", retry_after_s=5.0
             )
         account = self._configuration.accounts[request.account]
-        asked = self._forecaster.make_request(
+        admission_request = self._forecaster.make_request(
             account=account,
             request=request,
             slots=self._pool.get_usable_slots(
@@ -174,7 +174,7 @@
             ),
             entries=self._entries,
         )
-        self._admission.check(request=asked, entries=self._entries, now=now)
+        self._admission.check(request=admission_request, entries=self._entries, now=now)
         return self._open_job(now, request, selectors, account)
 
     def cancel(self, *, job: int, error: DalemastError) -> None:
@@ -225,11 +225,11 @@
         if link is None:
             return
         if hello.session != link.view.session:
-            self._lose(link, link.reset_session(hello.session))
+            self._fail_lost_tasks(link, link.reset_session(hello.session))
         else:
             link.prepare_resend(now)
         link.view.open_session(session=hello.session, slots=hello.slots)
-        link.view.take_report(load=hello.load, now=now)
+        link.view.handle_report(load=hello.load, now=now)
         self._must_dispatch = True
 
     def close_link(self, *, worker: str) -> None:
@@ -242,7 +242,7 @@
         """Give up a worker that cannot be reached; its tasks may have run."""
         link = self._links.get(worker)
         if link is not None and link.outstanding:
-            self._lose(link, link.reset_session(""))
+            self._fail_lost_tasks(link, link.reset_session(""))
 
     def has_outstanding(self, worker: str) -> bool:
         """Tell whether a worker holds tasks of this owner."""
@@ -254,24 +254,24 @@
         link = self._links.get(worker)
         if link is None or not link.accept_number(frame, now):
             return
-        link.view.take_report(load=frame.load, now=now)
+        link.view.handle_report(load=frame.load, now=now)
         if frame.load.draining:
             link.request_confirmation()
         for answer in frame.answers:
-            self._take_answer(link, answer, now)
+            self._handle_answer(link, answer, now)
         for refusal in frame.refusals:
-            self._take_refusal(link, refusal, now)
+            self._handle_refusal(link, refusal, now)
         self._must_dispatch = True
 
-    def _take_answer(self, link: WorkerLink, answer: TaskAnswer, now: float) -> None:
+    def _handle_answer(self, link: WorkerLink, answer: TaskAnswer, now: float) -> None:
         item = link.resolve((answer.job, answer.index))
         if item is None:
             return
         job = item.job
-        self._settle_usage(link, item, answer.run_ms / 1000.0)
+        self._reconcile_usage(link, item, answer.run_ms / 1000.0)
         self._observe(link, item, answer.run_ms / 1000.0, is_failure=bool(answer.error), now=now)
         if answer.error:
-            job.move(answer.index, TaskState.FAILED)
+            job.set_state(answer.index, TaskState.FAILED)
             if job.is_open:
                 error = EndpointFailed(answer.error, place=f"$.tasks[{answer.index}]")
                 self._fail(job, error)
@@ -280,29 +280,29 @@
         if job.is_open and job.is_answered:
             self._finish(job)
 
-    def _take_refusal(self, link: WorkerLink, refusal: TaskRefusal, now: float) -> None:
+    def _handle_refusal(self, link: WorkerLink, refusal: TaskRefusal, now: float) -> None:
         item = link.resolve((refusal.job, refusal.index))
         if item is None:
             return
         job = item.job
-        self._settle_usage(link, item, 0.0)
+        self._reconcile_usage(link, item, 0.0)
         if refusal.reason is RefusalReason.FULL:
-            link.view.await_room()
+            link.view.await_capacity()
         if refusal.reason is RefusalReason.UNREACHABLE:
             self._observe(link, item, 0.0, is_failure=True, now=now)
         if not job.is_open:
-            job.move(refusal.index, TaskState.REVOKED)
+            job.set_state(refusal.index, TaskState.REVOKED)
             return
         if refusal.reason is RefusalReason.DEADLINE and now >= job.deadline_at:
-            job.move(refusal.index, TaskState.REVOKED)
+            job.set_state(refusal.index, TaskState.REVOKED)
             self._fail(job, DeadlinePassed("the deadline passed before a start"))
             return
-        self._place_again(job, refusal, now)
+        self._requeue(job, refusal, now)
 
-    def _place_again(self, job: Job, refusal: TaskRefusal, now: float) -> None:
+    def _requeue(self, job: Job, refusal: TaskRefusal, now: float) -> None:
         account = self._configuration.accounts.get(job.request.account)
         self._backlog.remove(job)
-        job.move(refusal.index, TaskState.WAITING)
+        job.set_state(refusal.index, TaskState.WAITING)
         self._replaced_tasks += 1
         rate = 1.0 if account is None else account.limits.retries_per_s
         is_free = refusal.reason in (RefusalReason.DRAINING, RefusalReason.REVOKED)
@@ -310,20 +310,20 @@
             self._backlog.add(job, weight=self._get_weight(job.request.account), is_first=True)
         else:
             # Beyond the budget a task is not lost, only slowed down: it waits for the next tick.
-            self._parked.append(job)
+            self._deferred_jobs.append(job)
 
     def _get_weight(self, account: str) -> float:
         declared = self._configuration.accounts.get(account)
         return 1.0 if declared is None else declared.weight
 
-    def _unpark(self) -> None:
-        for job in self._parked:
+    def _requeue_deferred(self) -> None:
+        for job in self._deferred_jobs:
             if job.is_open:
                 self._backlog.add(job, weight=self._get_weight(job.request.account), is_first=True)
-        self._parked.clear()
+        self._deferred_jobs.clear()
 
     def _observe(
-        self, link: WorkerLink, item: Outstanding, run_s: float, *, is_failure: bool, now: float
+        self, link: WorkerLink, item: OutstandingTask, run_s: float, *, is_failure: bool, now: float
     ) -> None:
         if self._policy.is_ejecting:
             self._health.observe(
@@ -337,7 +337,7 @@
                 trial=item.trial,
             )
 
-    def _settle_usage(self, link: WorkerLink, item: Outstanding, used_s: float) -> None:
+    def _reconcile_usage(self, link: WorkerLink, item: OutstandingTask, used_s: float) -> None:
         request = item.job.request
         health = self._health.get(request.account)
         health.note_resolved(link.view.name, trial=item.trial)
@@ -345,10 +345,10 @@
         expected = health.get_expected_run_s(request.service)
         self._backlog.charge(request.account, used_s - expected)
 
-    def _lose(self, link: WorkerLink, items: list[Outstanding]) -> None:
+    def _fail_lost_tasks(self, link: WorkerLink, items: list[OutstandingTask]) -> None:
         for item in items:
-            self._settle_usage(link, item, 0.0)
-            item.job.move(item.index, TaskState.LOST)
+            self._reconcile_usage(link, item, 0.0)
+            item.job.set_state(item.index, TaskState.LOST)
         for item in items:
             if item.job.is_open:
                 error = WorkerLost(f"endpoint {link.view.name} held task {item.index} and is gone")
@@ -359,7 +359,7 @@
     def tick(self, *, now: float) -> None:
         """Do what time brings: deadlines, overdue tasks, probations, confirmations."""
         self._expire(now)
-        self._unpark()
+        self._requeue_deferred()
         self._must_dispatch |= self._health.tick(now=now)
         for link in self._links.get_watched():
             self._check_overdue(link, now)
@@ -420,7 +420,7 @@
             if any((job.number, index) in link.outstanding for index in unresolved):
                 link.add_cancel(job.number)
 
-    def _end_hopeless(self, job: Job) -> None:
+    def _fail_infeasible(self, job: Job) -> None:
         self._fail(job, DeadlinePassed("the deadline is too near to start the job"))
 
     # Dispatch
--- a/dalemast/core/gate/gate.py
+++ b/dalemast/core/gate/gate.py
@@ -29,19 +29,19 @@
 
 __all__ = ["Gate"]
 
-OWNER_LIFE_S = 900.0
+OWNER_RETENTION_S = 900.0
 """Seconds without a link after which an owner with nothing left to run is forgotten."""
 
-RETURN_S = 5.0
+RECONNECT_GRACE_S = 5.0
 """Seconds without a link after which a drain no longer waits for an owner."""
 
-GRANT_S = 0.03
+SLOT_RESERVATION_S = 0.03
 """Seconds for which a free slot is kept for the owner that was told of it."""
 
-SCARCE_SLOTS = 2
+SCARCE_FREE_SLOTS = 2
 """With fewer free slots than this, an owner hears of each slot that comes free at once."""
 
-WHOLE_FROM_MS = 20.0
+WHOLE_MS_THRESHOLD = 20.0
 
 EXPECTED_RUN_S = 0.2
 """Slot-seconds charged at a start, put right when the task is done."""
@@ -128,14 +128,14 @@
     @property
     def unconfirmed(self) -> int:
         """How many frames with outcomes no owner has confirmed."""
-        return sum(len(owner.kept) for owner in self._owners.values())
+        return sum(len(owner.unconfirmed_frames) for owner in self._owners.values())
 
     def count_undelivered(self, now: float) -> int:
         """Return how many frames wait for owners that are linked or may soon be again."""
         return sum(
-            len(owner.kept) + bool(owner.answers or owner.refusals)
+            len(owner.unconfirmed_frames) + bool(owner.answers or owner.refusals)
             for owner in self._owners.values()
-            if owner.is_linked or now - owner.unlinked_at < RETURN_S
+            if owner.is_linked or now - owner.unlinked_at < RECONNECT_GRACE_S
         )
 
     def is_idle(self, now: float) -> bool:
@@ -173,7 +173,7 @@
         elif hello.session == owner.session:
             owner.confirm(hello.seen)
         else:
-            self._begin_session(owner)
+            self._start_session(owner)
         owner.connection = hello.connection
         owner.is_linked = True
         answer = AgentHello(
@@ -182,7 +182,7 @@
             slots=self._slots,
             load=self._get_load(owner, now),
         )
-        return answer, tuple(owner.kept)
+        return answer, tuple(owner.unconfirmed_frames)
 
     def close_link(self, *, now: float, owner: str, connection: int) -> None:
         """Note that a connection ended; an older one than the newest changes nothing."""
@@ -253,14 +253,14 @@
             if now >= task.deadline_at:
                 self._drop_queued(task, RefusalReason.DEADLINE)
         for name, owner in list(self._owners.items()):
-            is_away = not owner.is_linked and now - owner.unlinked_at >= OWNER_LIFE_S
+            is_away = not owner.is_linked and now - owner.unlinked_at >= OWNER_RETENTION_S
             if is_away and not owner.active:
                 del self._owners[name]
 
     def collect(self, *, now: float) -> GateEffects:
         """Start what fits into the slots and return everything the process must do."""
         self._start_queued(now)
-        self._grant(now)
+        self._offer_free_slots(now)
         runs = tuple(self._runs)
         self._runs.clear()
         frames = tuple(
@@ -271,37 +271,37 @@
         return GateEffects(runs=runs, frames=frames)
 
     def _add_owner(self, incarnation: str) -> OwnerRecord:
-        owner = OwnerRecord(incarnation=incarnation, session=self._name_session())
+        owner = OwnerRecord(incarnation=incarnation, session=self._make_session_id())
         self._owners[incarnation] = owner
         return owner
 
-    def _name_session(self) -> str:
+    def _make_session_id(self) -> str:
         self._sessions += 1
         return f"{self._incarnation}.{self._sessions}"
 
-    def _begin_session(self, owner: OwnerRecord) -> None:
+    def _start_session(self, owner: OwnerRecord) -> None:
         """Begin anew with an owner; what runs goes on, and what waits is dropped."""
         for task in list(self._queue):
             if task.owner is owner:
                 self._drop_queued(task, RefusalReason.REVOKED)
-        owner.begin_session(self._name_session())
+        owner.start_session(self._make_session_id())
 
-    def _count_granted(self, now: float, *, but: OwnerRecord) -> int:
+    def _count_reserved(self, now: float, *, excluding: OwnerRecord) -> int:
         """Return how many free slots are kept for other owners."""
-        return sum(now < o.granted_until for o in self._owners.values() if o is not but)
+        return sum(now < o.slot_reserved_until for o in self._owners.values() if o is not excluding)
 
-    def _grant(self, now: float) -> None:
+    def _offer_free_slots(self, now: float) -> None:
         """Tell the owners that have waited longest of free slots, one owner a slot.
 
         Told all at once they would race for the slot, and all but one be refused again.
         """
         free = self._slots - self._running - len(self._queue)
-        free -= sum(now < owner.granted_until for owner in self._owners.values())
-        waiting = [o for o in self._owners.values() if o.wants_room_since is not None]
-        waiting.sort(key=lambda owner: owner.wants_room_since or 0.0)
+        free -= sum(now < owner.slot_reserved_until for owner in self._owners.values())
+        waiting = [o for o in self._owners.values() if o.waiting_for_slot_since is not None]
+        waiting.sort(key=lambda owner: owner.waiting_for_slot_since or 0.0)
         for owner in waiting[: max(0, free)]:
-            owner.wants_room_since = None
-            owner.granted_until = now + GRANT_S
+            owner.waiting_for_slot_since = None
+            owner.slot_reserved_until = now + SLOT_RESERVATION_S
             owner.must_report = True
 
     def _accept(self, owner: OwnerRecord, start: JobStart, *, now: float) -> None:
@@ -315,12 +315,12 @@
             )
             owner.tasks[key] = task
             reason = self._get_refusal_reason(owner, start, now)
-            owner.granted_until = 0.0
+            owner.slot_reserved_until = 0.0
             if reason is not None:
                 task.state = TaskStage.ENDED
                 self._refuse(owner, start.job, item.index, reason)
-                if reason is RefusalReason.FULL and owner.wants_room_since is None:
-                    owner.wants_room_since = now
+                if reason is RefusalReason.FULL and owner.waiting_for_slot_since is None:
+                    owner.waiting_for_slot_since = now
                 continue
             owner.active += 1
             if self._running < self._slots and not len(self._queue):
@@ -335,7 +335,7 @@
             return RefusalReason.DRAINING
         if start.deadline_ms <= 0:
             return RefusalReason.DEADLINE
-        taken = self._running + len(self._queue) + self._count_granted(now, but=owner)
+        taken = self._running + len(self._queue) + self._count_reserved(now, excluding=owner)
         if taken >= self._slots + self._queue_limit:
             return RefusalReason.FULL
         return None
@@ -414,7 +414,7 @@
         if not owner.answers:
             return False
         free = self._slots - self._running - len(self._queue)
-        if not self._is_holding_answers or free <= SCARCE_SLOTS:
+        if not self._is_holding_answers or free <= SCARCE_FREE_SLOTS:
             return True
         return any(not self._has_active_tasks(owner, answer.job) for answer in owner.answers)
 
@@ -434,12 +434,12 @@
         owner.answers.clear()
         owner.refusals.clear()
         if frame.answers or frame.refusals:
-            owner.kept.append(frame)
+            owner.unconfirmed_frames.append(frame)
         return frame
 
     def _get_load(self, owner: OwnerRecord, now: float) -> Load:
         return Load(
-            running=self._running + self._count_granted(now, but=owner),
+            running=self._running + self._count_reserved(now, excluding=owner),
             queued=len(self._queue),
             yours=owner.active,
             draining=self._is_draining,
@@ -448,4 +448,4 @@
 
 def _round_ms(value: float) -> float:
     """Round to what a policy can tell apart, since digits are bytes; whole above 20 ms."""
-    return round(value) if value >= WHOLE_FROM_MS else round(value, 1)
+    return round(value) if value >= WHOLE_MS_THRESHOLD else round(value, 1)
--- a/dalemast/core/gate/sessions.py
+++ b/dalemast/core/gate/sessions.py
@@ -65,20 +65,20 @@
         self.seen = 0
         self.tasks: dict[tuple[int, int], GateTask] = {}
         self.active = 0
-        self.kept: deque[AgentFrame] = deque()
+        self.unconfirmed_frames: deque[AgentFrame] = deque()
         self.answers: list[TaskAnswer] = []
         self.refusals: list[TaskRefusal] = []
-        self.wants_room_since: float | None = None
-        self.granted_until = 0.0
+        self.waiting_for_slot_since: float | None = None
+        self.slot_reserved_until = 0.0
         self.must_report = False
 
-    def begin_session(self, session: str) -> None:
+    def start_session(self, session: str) -> None:
         """Forget all that was said and all that has ended; numbers begin anew on both sides."""
         self.session = session
         self.last_processed = 0
         self.last_sent = 0
         self.seen = 0
-        self.kept.clear()
+        self.unconfirmed_frames.clear()
         self.answers.clear()
         self.refusals.clear()
         self.tasks = {
@@ -88,8 +88,8 @@
     def confirm(self, seen: int) -> None:
         """Forget the outcomes in all frames up to ``seen``."""
         self.seen = max(self.seen, seen)
-        while self.kept and self.kept[0].number <= seen:
-            frame = self.kept.popleft()
+        while self.unconfirmed_frames and self.unconfirmed_frames[0].number <= seen:
+            frame = self.unconfirmed_frames.popleft()
             for answer in frame.answers:
                 self.tasks.pop((answer.job, answer.index), None)
             for refusal in frame.refusals:
--- a/dalemast/core/placement/choices.py
+++ b/dalemast/core/placement/choices.py
@@ -22,7 +22,7 @@
 """Candidates looked at for one choice; all are looked at when there are no more than this."""
 
 
-class _RoomPlacement(BasePlacement):
+class _CapacityPlacement(BasePlacement):
     """Shared by the policies that look at room.
 
     The local data centre goes first, then the others, and last the workers that hold an overdue
@@ -78,21 +78,21 @@
         now: float,
         queue_limit: int,
     ) -> tuple[list[tuple[int, WorkerView]], ...]:
-        near: list[tuple[int, WorkerView]] = []
-        far: list[tuple[int, WorkerView]] = []
-        suspect: list[tuple[int, WorkerView]] = []
+        local: list[tuple[int, WorkerView]] = []
+        remote: list[tuple[int, WorkerView]] = []
+        suspected: list[tuple[int, WorkerView]] = []
         for worker in candidates:
-            room = worker.get_room(now=now, queue_limit=queue_limit)
-            room = health.get_allowance(worker.name, room) if room > 0 else 0
-            if room <= 0:
+            capacity = worker.get_free_capacity(now=now, queue_limit=queue_limit)
+            capacity = health.get_allowance(worker.name, capacity) if capacity > 0 else 0
+            if capacity <= 0:
                 continue
             if worker.overdue:
-                suspect.append((room, worker))
+                suspected.append((capacity, worker))
             elif worker.endpoint.data_centre == self._data_centre:
-                near.append((room, worker))
+                local.append((capacity, worker))
             else:
-                far.append((room, worker))
-        return near, far, suspect
+                remote.append((capacity, worker))
+        return local, remote, suspected
 
     def _allot(
         self, count: int, workers: list[tuple[int, WorkerView]], rng: random.Random
@@ -100,7 +100,7 @@
         raise NotImplementedError
 
 
-class PackingPlacement(_RoomPlacement):
+class PackingPlacement(_CapacityPlacement):
     """As few workers as will take the job: one with room for all, else the roomiest first.
 
     A task that starts at once on a shared worker is as fast as on one of its own, and each worker
@@ -113,27 +113,27 @@
         rng.shuffle(workers)
         workers.sort(key=lambda pair: pair[0], reverse=True)
         allotments: list[Allotment] = []
-        for room, worker in workers:
+        for capacity, worker in workers:
             if not count:
                 break
-            share = min(room, count)
+            share = min(capacity, count)
             allotments.append(Allotment(worker=worker, count=share))
             count -= share
         return allotments
 
 
-class SpreadingPlacement(_RoomPlacement):
+class SpreadingPlacement(_CapacityPlacement):
     """One task at a time to the worker with the most room left."""
 
     def _allot(
         self, count: int, workers: list[tuple[int, WorkerView]], rng: random.Random
     ) -> list[Allotment]:
         rng.shuffle(workers)
-        rooms = [room for room, _ in workers]
+        capacities = [capacity for capacity, _ in workers]
         counts = [0] * len(workers)
-        for _ in range(min(count, sum(rooms))):
-            best = max(range(len(workers)), key=rooms.__getitem__)
-            rooms[best] -= 1
+        for _ in range(min(count, sum(capacities))):
+            best = max(range(len(workers)), key=capacities.__getitem__)
+            capacities[best] -= 1
             counts[best] += 1
         return [
             Allotment(worker=worker, count=share)
@@ -142,7 +142,7 @@
         ]
 
 
-class _BlindPlacement(BasePlacement):
+class _LoadBlindPlacement(BasePlacement):
     """Shared by the baselines: each task goes somewhere usable, full or not."""
 
     def __init__(self, *, data_centre: str = "", queue_limit: int = 0) -> None:
@@ -172,14 +172,14 @@
         raise NotImplementedError
 
 
-class RandomPlacement(_BlindPlacement):
+class RandomPlacement(_LoadBlindPlacement):
     """Baseline: a random worker for each task."""
 
     def _pick(self, usable: list[WorkerView], rng: random.Random) -> WorkerView:
         return rng.choice(usable)
 
 
-class RoundRobinPlacement(_BlindPlacement):
+class RoundRobinPlacement(_LoadBlindPlacement):
     """Baseline: the workers in turn."""
 
     def _pick(self, usable: list[WorkerView], rng: random.Random) -> WorkerView:
@@ -187,7 +187,7 @@
         return usable[self._turn % len(usable)]
 
 
-class StaleShortestQueuePlacement(_BlindPlacement):
+class StaleShortestQueuePlacement(_LoadBlindPlacement):
     """Baseline: the shortest queue by the last report alone, however old."""
 
     def _pick(self, usable: list[WorkerView], rng: random.Random) -> WorkerView:
--- a/dalemast/core/placement/health.py
+++ b/dalemast/core/placement/health.py
@@ -27,12 +27,12 @@
 """SLOW_SAMPLES slow run times among this many last ones eject a worker."""
 
 SAMPLES_TO_JUDGE = 20
-SHORTEST_USUAL_S = 0.005
+MIN_TYPICAL_RUN_S = 0.005
 """Below this a run time is mostly the call itself and says nothing of a worker, in seconds."""
 
 MAX_EJECTED_SHARE = 0.34
 FIRST_EJECTION_S = 4.0
-LONGEST_EJECTION_S = 60.0
+MAX_EJECTION_S = 60.0
 SERVICE_BROKEN_SHARE = 0.3
 """A service that fails this often everywhere says nothing about one worker."""
 
@@ -102,8 +102,8 @@
         """Tell whether a run time is far above the usual, once there is a usual."""
         if len(self.run_times) < SAMPLES_TO_JUDGE:
             return False
-        usual = max(self.run_times.get(0.5, run_s), SHORTEST_USUAL_S)
-        return run_s > SLOW_FACTOR * usual
+        typical = max(self.run_times.get(0.5, run_s), MIN_TYPICAL_RUN_S)
+        return run_s > SLOW_FACTOR * typical
 
     def add(self, *, run_s: float, is_failure: bool) -> None:
         """Take one outcome; the first successes count for more, so that trust is gained quickly."""
@@ -120,7 +120,15 @@
     number of the last trial, and ``out`` how many of its tasks are out.
     """
 
-    __slots__ = ("ejections", "failures", "out", "standing", "trial", "until", "window")
+    __slots__ = (
+        "ejections",
+        "failures",
+        "pending_trial_tasks",
+        "standing",
+        "trial",
+        "until",
+        "window",
+    )
 
     def __init__(self) -> None:
         self.standing = WorkerStanding.GOOD
@@ -129,20 +137,20 @@
         self.ejections = 0
         self.until = 0.0
         self.trial = NO_TRIAL
-        self.out = 0
+        self.pending_trial_tasks = 0
 
     @property
     def is_bad(self) -> bool:
         """Whether the worker is to be ejected."""
         return self.failures >= FAILURES_TO_EJECT or self.window.bit_count() >= SLOW_SAMPLES
 
-    def begin_trial(self) -> None:
+    def start_trial(self) -> None:
         """Let one task tell whether the worker is still bad."""
         self.standing = WorkerStanding.PROBATION
         self.trial += 1
-        self.out = 0
+        self.pending_trial_tasks = 0
 
-    def is_tried_by(self, trial: int) -> bool:
+    def is_decided_by(self, trial: int) -> bool:
         """Tell whether a task of this trial decides about the worker now."""
         return self.standing is WorkerStanding.PROBATION and trial == self.trial
 
@@ -163,12 +171,12 @@
     def __init__(self) -> None:
         self._services: dict[str, ServiceObservations] = {}
         self._records: dict[str, _Record] = {}
-        self._distrusted: set[str] = set()
+        self._restricted: set[str] = set()
 
     @property
     def ejected(self) -> tuple[str, ...]:
         """The workers that get nothing, or one task on trial."""
-        return tuple(self._distrusted)
+        return tuple(self._restricted)
 
     def get_service(self, service: str) -> ServiceObservations:
         """Return what was observed of a service."""
@@ -178,28 +186,28 @@
         """Return the median run time of a service, in seconds."""
         return self.get_service(service).run_times.get(0.5, default)
 
-    def get_allowance(self, worker: str, room: int) -> int:
+    def get_allowance(self, worker: str, capacity: int) -> int:
         """Return how many of the tasks that a worker has room for it may get."""
         record = self._records.get(worker)
         if record is None or record.standing is WorkerStanding.GOOD:
-            return room
+            return capacity
         if record.standing is WorkerStanding.EJECTED:
             return 0
-        return min(room, max(0, 1 - record.out))
+        return min(capacity, max(0, 1 - record.pending_trial_tasks))
 
     def note_sent(self, worker: str, count: int) -> int:
         """Note that tasks went to a worker; return the number of the trial that they are for."""
         record = self._records.get(worker)
         if record is None or record.standing is not WorkerStanding.PROBATION:
             return NO_TRIAL
-        record.out += count
+        record.pending_trial_tasks += count
         return record.trial
 
     def note_resolved(self, worker: str, *, trial: int) -> None:
         """Note that a task came back from a worker, in whatever way."""
         record = self._records.get(worker)
-        if record is not None and record.is_tried_by(trial):
-            record.out -= 1
+        if record is not None and record.is_decided_by(trial):
+            record.pending_trial_tasks -= 1
 
     def observe(
         self,
@@ -227,40 +235,42 @@
             observations.add(run_s=run_s, is_failure=is_failure)
         if record is None and not is_bad:
             return False
-        record = self._note(worker, is_slow=is_slow, is_failure=is_failure, is_bad=is_bad)
-        if record.is_tried_by(trial):
+        record = self._record_outcome(worker, is_slow=is_slow, is_failure=is_failure, is_bad=is_bad)
+        if record.is_decided_by(trial):
             return self._end_probation(worker, record, is_bad or is_failure, now)
-        self._settle(worker, record, now, workers)
+        self._update_standing(worker, record, now, workers)
         return False
 
-    def postpone(self, *, worker: str, now: float) -> None:
+    def postpone_trial(self, *, worker: str, now: float) -> None:
         """Put a trial off, because another account's has just failed.
 
         This only ever concerns a worker that this account has found to be bad itself.
         """
         record = self._records.get(worker)
         if record is not None and record.standing is not WorkerStanding.GOOD:
-            self._close(worker, record, now)
+            self._eject(worker, record, now)
 
     def observe_overdue(
         self, *, worker: str, service: str, running_s: float, now: float, workers: int
     ) -> None:
         """Take a task that has run for so long already that its worker may be a straggler."""
         if self.get_service(service).is_slow(running_s):
-            record = self._note(worker, is_slow=True, is_failure=False, is_bad=True)
-            self._settle(worker, record, now, workers)
+            record = self._record_outcome(worker, is_slow=True, is_failure=False, is_bad=True)
+            self._update_standing(worker, record, now, workers)
 
     def tick(self, *, now: float) -> bool:
         """Put workers whose ejection is over on probation; tell whether any was."""
         is_changed = False
-        for name in self._distrusted:
+        for name in self._restricted:
             record = self._records[name]
             if record.standing is WorkerStanding.EJECTED and now >= record.until:
-                record.begin_trial()
+                record.start_trial()
                 is_changed = True
         return is_changed
 
-    def _note(self, worker: str, *, is_slow: bool, is_failure: bool, is_bad: bool) -> _Record:
+    def _record_outcome(
+        self, worker: str, *, is_slow: bool, is_failure: bool, is_bad: bool
+    ) -> _Record:
         record = self._records.setdefault(worker, _Record())
         if not is_failure:
             record.failures = 0
@@ -269,29 +279,29 @@
             record.failures += 1
         return record
 
-    def _settle(self, worker: str, record: _Record, now: float, workers: int) -> None:
+    def _update_standing(self, worker: str, record: _Record, now: float, workers: int) -> None:
         """Eject a worker that is bad, within the bound, and forget one that is not any more."""
         if record.standing is WorkerStanding.GOOD and record.is_bad:
-            if len(self._distrusted) + 1 <= MAX_EJECTED_SHARE * workers:
-                self._close(worker, record, now)
+            if len(self._restricted) + 1 <= MAX_EJECTED_SHARE * workers:
+                self._eject(worker, record, now)
         elif record.is_clean:
             del self._records[worker]
 
-    def _close(self, worker: str, record: _Record, now: float) -> None:
-        self._distrusted.add(worker)
+    def _eject(self, worker: str, record: _Record, now: float) -> None:
+        self._restricted.add(worker)
         record.standing = WorkerStanding.EJECTED
-        record.until = now + min(FIRST_EJECTION_S * 2**record.ejections, LONGEST_EJECTION_S)
+        record.until = now + min(FIRST_EJECTION_S * 2**record.ejections, MAX_EJECTION_S)
         record.ejections += 1
 
     def _end_probation(self, worker: str, record: _Record, is_bad: bool, now: float) -> bool:
         if is_bad:
-            self._close(worker, record, now)
+            self._eject(worker, record, now)
             return True
-        self._distrusted.discard(worker)
+        self._restricted.discard(worker)
         record.standing = WorkerStanding.GOOD
         record.failures = 0
         record.window = 0
-        record.out = 0
+        record.pending_trial_tasks = 0
         record.ejections = max(0, record.ejections - 1)
         return False
 
@@ -337,7 +347,7 @@
             return
         for monitor in self._monitors.values():
             if monitor is not own:
-                monitor.postpone(worker=worker, now=now)
+                monitor.postpone_trial(worker=worker, now=now)
 
     def tick(self, *, now: float) -> bool:
         """Put workers whose ejection is over on probation; tell whether any was."""
--- a/dalemast/core/placement/views.py
+++ b/dalemast/core/placement/subsetting.py
@@ -9,10 +9,10 @@
 import hashlib
 from collections.abc import Iterable
 
-__all__ = ["is_in_view"]
+__all__ = ["is_in_subset"]
 
 
-def is_in_view(*, entry: str, entries: Iterable[str], worker: str, limit: int) -> bool:
+def is_in_subset(*, entry: str, entries: Iterable[str], worker: str, limit: int) -> bool:
     """Tell whether ``entry`` is among the ``limit`` entries that connect to a worker."""
     others = set(entries) - {entry}
     if len(others) < limit:
--- a/dalemast/core/placement/workers.py
+++ b/dalemast/core/placement/workers.py
@@ -19,13 +19,13 @@
 AVERAGE_STEP = 0.05
 """Weight of one report in the average of others' load."""
 
-SLOTS_LIFE_S = 0.25
+SLOT_COUNT_MAX_AGE_S = 0.25
 """For how long a count of usable slots is good enough for a forecast, in seconds."""
 
 SERVICE_LABEL = "dalemast/service."
 
 
-class OthersAverage:
+class OtherEntriesAverage:
     """How many tasks other entries have on a worker, on average over recent reports.
 
     Without reports the average fades: an entry that hears nothing has to try.
@@ -57,9 +57,9 @@
     there is no more guessing.
     """
 
-    def __init__(self, *, endpoint: Endpoint, average: OthersAverage | None = None) -> None:
+    def __init__(self, *, endpoint: Endpoint, average: OtherEntriesAverage | None = None) -> None:
         self.endpoint = endpoint
-        self._average = average or OthersAverage()
+        self._average = average or OtherEntriesAverage()
         self.session = ""
         self.is_linked = False
         self.is_draining = False
@@ -67,7 +67,7 @@
         self.slots = endpoint.slots
         self.own = 0
         self.overdue = 0
-        self._is_awaiting_room = False
+        self._is_awaiting_capacity = False
         self._others = 0
         self._reported_total = 0
         self._reported_at = -math.inf
@@ -89,7 +89,7 @@
             return False
         return self.endpoint.state is EndpointState.LIVE
 
-    def take_report(self, *, load: Load, now: float) -> None:
+    def handle_report(self, *, load: Load, now: float) -> None:
         """Take a load report of the agent."""
         self._reported_total = load.running + load.queued
         self._others = max(0, self._reported_total - load.yours)
@@ -97,18 +97,18 @@
         self._average.add(self._others, now)
         self.is_draining = load.draining
         if self._reported_total < self.slots:
-            self._is_awaiting_room = False
+            self._is_awaiting_capacity = False
 
     def open_session(self, *, session: str, slots: int) -> None:
         """Begin with an agent that may have forgotten what it would tell."""
         self.session = session
         self.slots = min(slots, self.endpoint.slots)
         self.is_linked = True
-        self._is_awaiting_room = False
+        self._is_awaiting_capacity = False
 
-    def await_room(self) -> None:
+    def await_capacity(self) -> None:
         """Note that the agent refused a task for want of room and will tell when there is some."""
-        self._is_awaiting_room = True
+        self._is_awaiting_capacity = True
 
     def get_load(self, now: float) -> float:
         """Estimate how many tasks are there, this entry's included."""
@@ -117,9 +117,9 @@
         fading: float = 0.5 ** (age / OTHERS_HALF_LIFE_S)
         return self.own + average + (self._others - average) * fading
 
-    def get_room(self, *, now: float, queue_limit: int) -> int:
+    def get_free_capacity(self, *, now: float, queue_limit: int) -> int:
         """Return how many more tasks the worker is believed to take."""
-        if not self.is_usable or self._is_awaiting_room:
+        if not self.is_usable or self._is_awaiting_capacity:
             return 0
         return math.floor(self.slots + queue_limit - self.get_load(now))
 
@@ -129,7 +129,7 @@
 
     def __init__(self) -> None:
         self._views: dict[str, WorkerView] = {}
-        self._average = OthersAverage()
+        self._average = OtherEntriesAverage()
         self._index = LabelIndex(items=())
         self._candidates: dict[tuple[str, Selector, Selector], tuple[WorkerView, ...]] = {}
         self._slots: dict[tuple[str, Selector, Selector], tuple[float, int]] = {}
@@ -199,7 +199,7 @@
         """
         key = (service, *selectors)
         counted_at, slots = self._slots.get(key, (-math.inf, 0))
-        if now - counted_at >= SLOTS_LIFE_S:
+        if now - counted_at >= SLOT_COUNT_MAX_AGE_S:
             candidates = self.get_candidates(service=service, selectors=selectors)
             slots = sum(view.slots for view in candidates if view.is_usable)
             self._slots[key] = (now, slots)
--- a/dalemast/core/submissions/__init__.py
+++ b/dalemast/core/submissions/__init__.py
@@ -1,7 +1,6 @@
 """Submissions: tickets, keys, and the memory that a submission starts once."""
 
 from dalemast.core.submissions.base import ClaimKey, Submission, SubmissionKey, TicketKey
-from dalemast.core.submissions.desk import SubmissionDesk
 from dalemast.core.submissions.exceptions import (
     AnswerForgotten,
     ForeignSubmission,
@@ -12,6 +11,7 @@
     TicketExpired,
     TicketInvalid,
 )
+from dalemast.core.submissions.handler import SubmissionHandler
 from dalemast.core.submissions.ledger import LedgerEntry, SubmissionLedger
 from dalemast.core.submissions.tickets import JobName, Ticket, TicketSigner
 
@@ -25,7 +25,7 @@
     "OwnerDraining",
     "OwnerLost",
     "Submission",
-    "SubmissionDesk",
+    "SubmissionHandler",
     "SubmissionDiffers",
     "SubmissionKey",
     "SubmissionLedger",
--- a/dalemast/core/submissions/desk.py
+++ b/dalemast/core/submissions/handler.py
@@ -9,10 +9,10 @@
 from dalemast.core.submissions.exceptions import OwnerDraining
 from dalemast.core.submissions.ledger import LedgerEntry, SubmissionLedger
 
-__all__ = ["SubmissionDesk"]
+__all__ = ["SubmissionHandler"]
 
 
-class SubmissionDesk:
+class SubmissionHandler:
     """Takes submissions for one owner incarnation, each key once."""
 
     def __init__(
@@ -32,7 +32,7 @@
         """Refuse new submissions from now on; known ones can still be joined."""
         self._is_draining = True
 
-    def take(
+    def submit(
         self, *, now: float, key: SubmissionKey, digest: bytes, request: JobRequest
     ) -> LedgerEntry:
         """Start a submission, or return the one that was started under the same key.
--- a/dalemast/core/submissions/ledger.py
+++ b/dalemast/core/submissions/ledger.py
@@ -105,7 +105,7 @@
             return None
         raise AnswerForgotten("the answer is no longer kept", run=_RUNS[mark])
 
-    def check_life(self, *, number: int, issued_ms: int, now: float) -> None:
+    def check_not_expired(self, *, number: int, issued_ms: int, now: float) -> None:
         """Raise :class:`TicketExpired` for an unused ticket whose life is over."""
         if not 0 <= number < len(self._marks):
             raise TicketInvalid("the ticket was never issued")
--- a/dalemast/core/verdicts.py
+++ b/dalemast/core/verdicts.py
@@ -10,7 +10,7 @@
 import enum
 from collections.abc import Iterable
 
-__all__ = ["ALLOWED_MOVES", "IllegalMove", "Run", "TaskState", "get_verdict"]
+__all__ = ["ALLOWED_TRANSITIONS", "IllegalTransition", "Run", "TaskState", "get_verdict"]
 
 
 class Run(enum.Enum):
@@ -38,7 +38,7 @@
     """It was sent to an agent that is gone; nobody can say whether it started."""
 
 
-ALLOWED_MOVES: dict[TaskState, frozenset[TaskState]] = {
+ALLOWED_TRANSITIONS: dict[TaskState, frozenset[TaskState]] = {
     TaskState.WAITING: frozenset({TaskState.SENT, TaskState.REVOKED}),
     TaskState.SENT: frozenset(
         {TaskState.WAITING, TaskState.DONE, TaskState.FAILED, TaskState.REVOKED, TaskState.LOST}
@@ -55,7 +55,7 @@
 _STARTED = frozenset({TaskState.DONE, TaskState.FAILED})
 
 
-class IllegalMove(Exception):
+class IllegalTransition(Exception):
     """A task was asked to move where the table of moves does not lead: a bug in the caller."""
 
 
--- a/dalemast/entry/callers.py
+++ b/dalemast/entry/callers.py
@@ -159,7 +159,7 @@
         """Refuse a ticket that was not used while it lived; a used one keeps its answer."""
         ledger = self._engine.ledger
         if ledger.is_unused(ticket.number):
-            ledger.check_life(
+            ledger.check_not_expired(
                 number=ticket.number, issued_ms=ticket.issued_ms, now=clock.monotonic()
             )
 
--- a/dalemast/entry/engine.py
+++ b/dalemast/entry/engine.py
@@ -21,7 +21,7 @@
 from dalemast.core.exceptions import DalemastError
 from dalemast.core.submissions import (
     LedgerEntry,
-    SubmissionDesk,
+    SubmissionHandler,
     SubmissionKey,
     SubmissionLedger,
 )
@@ -67,7 +67,7 @@
             rng=random.Random(incarnation),
             now=clock.monotonic(),
         )
-        self._desk = SubmissionDesk(
+        self._desk = SubmissionHandler(
             owner=self._owner, ledger=self.ledger, configuration=self.configuration
         )
         self._senders: dict[str, Sender] = {}
@@ -138,7 +138,9 @@
         Raises the refusal; a refused key stays refused.
         """
         try:
-            entry = self._desk.take(now=clock.monotonic(), key=key, digest=digest, request=request)
+            entry = self._desk.submit(
+                now=clock.monotonic(), key=key, digest=digest, request=request
+            )
         except DalemastError as error:
             self.metrics.count(f"submissions.refused.{error.code}")
             raise
--- a/dalemast/entry/links.py
+++ b/dalemast/entry/links.py
@@ -13,7 +13,7 @@
 
 from dalemast import clock
 from dalemast.core.configuration import Endpoint
-from dalemast.core.placement.views import is_in_view
+from dalemast.core.placement.subsetting import is_in_subset
 from dalemast.core.wire import AgentHello
 from dalemast.entry.engine import EntryEngine
 from dalemast.http.links import LINK_PATH, LinkWriter
@@ -88,7 +88,7 @@
         await asyncio.gather(*(task for _, task in self._tasks.values()), return_exceptions=True)
 
     def _is_wanted(self, endpoint: Endpoint) -> bool:
-        return is_in_view(
+        return is_in_subset(
             entry=self._name,
             entries=self._entries,
             worker=endpoint.name,
--- a/dalemast/fleet/agent/owner_sessions.py
+++ b/dalemast/fleet/agent/owner_sessions.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from dalemast import clock
-from dalemast.core.clocks import LeastLead
+from dalemast.core.clocks import MinClockLead
 from dalemast.core.supervision import CapacitySubscriber
 from dalemast.fleet.base import Member
 from dalemast.fleet.frames import ClockRequest, ClockResponse, EntryMessage, Reconciled, SentAt
@@ -59,7 +59,7 @@
         """The number of the entry's last question which entries are heard here, if it has asked."""
         self._probed_at = float("-inf")
         self._clock_questions = 0
-        self._lead = LeastLead(drift=STEADY_CLOCK_DRIFT)
+        self._lead = MinClockLead(drift=STEADY_CLOCK_DRIFT)
         """This clock against the entry's."""
         self._said_ms = 0
         self._news = 0
@@ -120,7 +120,7 @@
     def take_clock(self, answer: ClockResponse) -> None:
         """Take in how the entry's clock goes: it heard the question after it was sent."""
         lead_s = (answer.sent_at_ms - answer.heard_at_ms) / 1000
-        self._lead.show(lead_s, now=clock.monotonic())
+        self._lead.observe(lead_s, now=clock.monotonic())
 
     def receive(self, messages: list[EntryMessage]) -> None:
         """Take in a frame."""
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from dalemast import clock
-from dalemast.core.clocks import LeastLead
+from dalemast.core.clocks import MinClockLead
 from dalemast.core.scheduling import EndReason
 from dalemast.core.supervision import (
     EndedRun,
@@ -100,7 +100,7 @@
         # the time of day rises from one life to the next, and _raise_fence mends what steps spoil.
         self._fence = int(time.time() * 1000)
         self._headers: dict[str, str] = {}
-        self._clock = LeastLead(drift=WORKER_CLOCK_ERROR)
+        self._clock = MinClockLead(drift=WORKER_CLOCK_ERROR)
         """The worker's clock against this one. Taken as it was read, that of a worker that had been
         idle for 30 s let what was started then run on for 0.6 s more."""
         self._lease = WorkerLease(lease_s=lease_s)
@@ -121,7 +121,7 @@
         self._life_id = life.id
         self._headers = {EXPECTED_LIFE_HEADER: worker_id}
         self._open_clients()
-        self._clock = LeastLead(drift=WORKER_CLOCK_ERROR)
+        self._clock = MinClockLead(drift=WORKER_CLOCK_ERROR)
         self._ends_seen = 0
 
     async def start(self, request: StartRequest, *, get_limit: Callable[[], float]) -> StartOutcome:
@@ -298,7 +298,7 @@
     def _follow_clock(self, clock_ms: float | None) -> None:
         if clock_ms is not None:
             now = clock.monotonic()
-            self._clock.show(clock_ms / 1000 - now, now=now)
+            self._clock.observe(clock_ms / 1000 - now, now=now)
 
     def _raise_fence(self) -> None:
         self._fence += FENCE_STEP
--- a/tests/core/model.py
+++ b/tests/core/model.py
@@ -26,7 +26,7 @@
 from dalemast.core.gate.base import OutcomeKind
 from dalemast.core.submissions import (
     AnswerForgotten,
-    SubmissionDesk,
+    SubmissionHandler,
     SubmissionLedger,
     TicketKey,
 )
@@ -74,7 +74,9 @@
             now=now,
         )
         self.ledger = SubmissionLedger(ticket_life_s=60.0)
-        self.desk = SubmissionDesk(owner=self.owner, ledger=self.ledger, configuration=self.holder)
+        self.submission_handler = SubmissionHandler(
+            owner=self.owner, ledger=self.ledger, configuration=self.holder
+        )
         self.owner.apply_configuration()
 
 
@@ -246,9 +248,11 @@
             payloads=tuple(msgspec.Raw(b"%d" % n) for n in range(submitted.tasks)),
             size_bytes=submitted.tasks,
         )
-        desk = submitted.entry.desk
+        submission_handler = submitted.entry.submission_handler
         try:
-            entry = desk.take(now=self.now, key=submitted.key, digest=b"", request=request)
+            entry = submission_handler.submit(
+                now=self.now, key=submitted.key, digest=b"", request=request
+            )
         except AnswerForgotten as error:
             submitted.told.append(("forgotten", error.run, ()))
         except DalemastError as error:
@@ -330,7 +334,7 @@
         return None
 
     def _finish(self, entry: ModelEntry, result: JobResult) -> None:
-        entry.desk.finish(now=self.now, result=result)
+        entry.submission_handler.finish(now=self.now, result=result)
         for submitted in self.submitted:
             if submitted.entry is entry and submitted.job == result.job:
                 self._tell(submitted, result)
--- a/tests/core/test_clocks.py
+++ b/tests/core/test_clocks.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from dalemast.core.clocks import LeastLead
+from dalemast.core.clocks import MinClockLead
 
 DRIFT = 0.02
 delays = st.lists(st.tuples(st.floats(0.0, 5.0), st.floats(0.0, 3.0)), min_size=1, max_size=10)
@@ -18,24 +18,24 @@
         self, messages: list[tuple[float, float]], slow: float, ahead_s: float
     ) -> None:
         """Messages are sent after pauses and arrive after delays; the other clock goes slower."""
-        lead = LeastLead(drift=DRIFT)
+        lead = MinClockLead(drift=DRIFT)
         now = 0.0
         for pause_s, delay_s in messages:
             now += pause_s
             told = ahead_s + now * (1.0 - slow)
             now += delay_s
-            lead.show(told - now, now=now)
+            lead.observe(told - now, now=now)
             self.assertLessEqual(lead.get(now=now), ahead_s - now * slow + 1e-6)
 
     def test_nothing_is_known_before_the_first_message(self) -> None:
-        lead = LeastLead(drift=DRIFT)
+        lead = MinClockLead(drift=DRIFT)
         self.assertFalse(lead.is_known)
         self.assertEqual(float("-inf"), lead.get(now=1.0))
 
     def test_a_message_that_took_long_does_not_spoil_what_is_known(self) -> None:
-        lead = LeastLead(drift=DRIFT)
-        lead.show(10.0, now=0.0)
-        lead.show(9.0, now=1.0)
+        lead = MinClockLead(drift=DRIFT)
+        lead.observe(10.0, now=0.0)
+        lead.observe(9.0, now=1.0)
         self.assertAlmostEqual(10.0 - DRIFT, lead.get(now=1.0))
 
     def test_clocks_that_part_faster_are_followed(self) -> None:
@@ -43,8 +43,8 @@
 
         A lead that was shown long ago outvotes all later ones then, and errs by more each second.
         """
-        lead = LeastLead(drift=0.0005)
+        lead = MinClockLead(drift=0.0005)
         for second in range(0, 3600, 5):
             now = float(second)
-            lead.show(10.0 - 0.001 * now, now=now)
+            lead.observe(10.0 - 0.001 * now, now=now)
         self.assertLess(lead.get(now=now) - (10.0 - 0.001 * now), 0.06)
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -121,7 +121,7 @@
 
     def test_failed_trial_of_another_account_only_concerns_workers_found_bad(self) -> None:
         self.work()
-        self.health.postpone(worker="w1", now=NOW)
+        self.health.postpone_trial(worker="w1", now=NOW)
         self.assertEqual(self.health.ejected, ())
 
 
--- a/tests/core/test_jobs.py
+++ b/tests/core/test_jobs.py
@@ -10,7 +10,13 @@
 from dalemast.core.dispatch import JobRequest, WorkerLost
 from dalemast.core.dispatch.jobs import Job
 from dalemast.core.selectors import Selector
-from dalemast.core.verdicts import ALLOWED_MOVES, IllegalMove, Run, TaskState, get_verdict
+from dalemast.core.verdicts import (
+    ALLOWED_TRANSITIONS,
+    IllegalTransition,
+    Run,
+    TaskState,
+    get_verdict,
+)
 
 VERDICTS = [
     ({TaskState.WAITING}, Run.NOT_RUN),
@@ -56,7 +62,7 @@
         job.take_waiting(6)
         for index in order:
             self.assertFalse(job.is_answered)
-            job.move(index, TaskState.SENT)
+            job.set_state(index, TaskState.SENT)
             job.answer(index, msgspec.Raw(b"%d" % index))
         self.assertTrue(job.is_answered)
         self.assertEqual([bytes(a) for a in job.finish().answers], [b"%d" % n for n in range(6)])
@@ -64,7 +70,7 @@
     def test_a_failed_job_has_no_answers(self) -> None:
         job = make_job(2)
         (index,) = job.take_waiting(1)
-        job.move(index, TaskState.SENT)
+        job.set_state(index, TaskState.SENT)
         job.answer(index, msgspec.Raw(b"1"))
         result = job.fail(WorkerLost("gone"))
         self.assertEqual(result.answers, ())
@@ -72,12 +78,12 @@
 
     def test_transitions_outside_the_table_raise(self) -> None:
         for current in TaskState:
-            for wanted in set(TaskState) - ALLOWED_MOVES[current]:
+            for wanted in set(TaskState) - ALLOWED_TRANSITIONS[current]:
                 job = make_job(1)
                 job._states[0] = current
-                self.assertRaises(IllegalMove, job.move, 0, wanted)
+                self.assertRaises(IllegalTransition, job.set_state, 0, wanted)
 
     def test_a_task_that_may_have_started_never_waits_again(self) -> None:
         for state in (TaskState.DONE, TaskState.FAILED, TaskState.LOST):
-            self.assertNotIn(TaskState.WAITING, ALLOWED_MOVES[state])
-            self.assertNotIn(TaskState.REVOKED, ALLOWED_MOVES[state])
+            self.assertNotIn(TaskState.WAITING, ALLOWED_TRANSITIONS[state])
+            self.assertNotIn(TaskState.REVOKED, ALLOWED_TRANSITIONS[state])
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -72,11 +72,11 @@
 
     def test_ticket_lives_as_long_as_its_life(self) -> None:
         number = self.ledger.issue()
-        self.ledger.check_life(number=number, issued_ms=0, now=59.0)
+        self.ledger.check_not_expired(number=number, issued_ms=0, now=59.0)
         arguments = {"number": number, "issued_ms": 0, "now": 61.0}
-        self.assertRaises(TicketExpired, self.ledger.check_life, **arguments)
+        self.assertRaises(TicketExpired, self.ledger.check_not_expired, **arguments)
         arguments = {"number": 99, "issued_ms": 0, "now": 0.0}
-        self.assertRaises(TicketInvalid, self.ledger.check_life, **arguments)
+        self.assertRaises(TicketInvalid, self.ledger.check_not_expired, **arguments)
 
     def test_claims_that_were_let_go_are_not_started_again(self) -> None:
         self.patch(ledger_module, "MAX_CLAIMS_REMEMBERED", 2)
--- a/tests/core/test_owner.py
+++ b/tests/core/test_owner.py
@@ -102,7 +102,7 @@
     def collect(self) -> OwnerEffects:
         return self.owner.collect(now=self.now)
 
-    def hear(self, **fields: object) -> OwnerEffects:
+    def receive(self, **fields: object) -> OwnerEffects:
         self.numbers += 1
         values = {"session": self.session, "number": self.numbers, **fields}
         frame = AgentFrame(**values)  # type: ignore[arg-type]
@@ -111,7 +111,7 @@
 
     def refuse(self, job: int, index: int, reason: RefusalReason, running: int = 0) -> OwnerEffects:
         refusal = TaskRefusal(job=job, index=index, reason=reason)
-        return self.hear(refusals=(refusal,), load=Load(running=running))
+        return self.receive(refusals=(refusal,), load=Load(running=running))
 
     def tick(self, seconds: float) -> OwnerEffects:
         self.now += seconds
@@ -161,7 +161,7 @@
         job = self.submit(1)
         self.collect()
         self.assertEqual(self.refuse(job, 0, RefusalReason.FULL, running=SLOTS).frames, ())
-        ((_, frame),) = self.hear(load=Load(running=1)).frames
+        ((_, frame),) = self.receive(load=Load(running=1)).frames
         self.assertEqual(frame.starts[0].tasks[0].index, 0)
         self.assertEqual(self.owner.replaced_tasks, 1)
 
@@ -207,7 +207,7 @@
     def test_failed_task_ends_the_job_at_once(self) -> None:
         job = self.submit(2)
         self.collect()
-        (result,) = self.hear(answers=(TaskAnswer(job=job, index=0, error="no"),)).results
+        (result,) = self.receive(answers=(TaskAnswer(job=job, index=0, error="no"),)).results
         self.assertIs(result.run, Run.MAY_HAVE_RUN)
         self.assertFalse(result.is_complete)
 
@@ -215,7 +215,7 @@
         job = self.submit(1, deadline_s=1.0)
         self.collect()
         self.tick(2.0)
-        self.assertEqual(self.hear(answers=(TaskAnswer(job=job, index=0),)).results, ())
+        self.assertEqual(self.receive(answers=(TaskAnswer(job=job, index=0),)).results, ())
 
 
 class SessionTests(OwnerTestCase):
@@ -238,14 +238,14 @@
         job = self.submit(1)
         self.collect()
         answer = TaskAnswer(job=job, index=0)
-        self.assertEqual(len(self.hear(answers=(answer,)).results), 1)
+        self.assertEqual(len(self.receive(answers=(answer,)).results), 1)
         self.numbers -= 1
-        self.assertEqual(self.hear(answers=(answer,)).results, ())
+        self.assertEqual(self.receive(answers=(answer,)).results, ())
 
     def test_confirmation_goes_alone_only_after_its_time(self) -> None:
         job = self.submit(1)
         self.collect()
-        self.hear(answers=(TaskAnswer(job=job, index=0),))
+        self.receive(answers=(TaskAnswer(job=job, index=0),))
         self.assertEqual(self.tick(5.0).frames, ())
         ((_, frame),) = self.tick(6.0).frames
         self.assertEqual((frame.seen, frame.starts), (1, ()))
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -17,7 +17,7 @@
     WorkerView,
     get_placement,
 )
-from dalemast.core.placement.views import is_in_view
+from dalemast.core.placement.subsetting import is_in_subset
 from dalemast.core.selectors import Selector, parse_selector
 from dalemast.core.wire import Load
 
@@ -38,7 +38,7 @@
 def make_view(number: int, running: int = 0, data_centre: str = "austin") -> WorkerView:
     view = WorkerView(endpoint=make_endpoint(number, data_centre))
     view.open_session(session="s", slots=8)
-    view.take_report(load=Load(running=running), now=NOW)
+    view.handle_report(load=Load(running=running), now=NOW)
     return view
 
 
@@ -75,8 +75,8 @@
 
     def test_full_draining_leaving_and_unlinked_workers_get_nothing(self) -> None:
         full, draining, leaving, unlinked = (make_view(n) for n in range(4))
-        full.take_report(load=Load(running=8), now=NOW)
-        draining.take_report(load=Load(draining=True), now=NOW)
+        full.handle_report(load=Load(running=8), now=NOW)
+        draining.handle_report(load=Load(draining=True), now=NOW)
         leaving.is_host_leaving = True
         unlinked.is_linked = False
         declared = WorkerView(
@@ -96,9 +96,9 @@
 
     def test_worker_that_refused_is_left_alone_until_it_tells_of_room(self) -> None:
         view = make_view(0)
-        view.await_room()
+        view.await_capacity()
         self.assertEqual(self.choose("packing", 1, [view]), {})
-        view.take_report(load=Load(running=7), now=NOW)
+        view.handle_report(load=Load(running=7), now=NOW)
         self.assertEqual(self.choose("packing", 1, [view]), {"e0": 1})
 
     @given(st.lists(st.integers(0, 8), min_size=1, max_size=40), st.integers(1, 110))
@@ -145,5 +145,5 @@
     @given(st.integers(1, 30), st.integers(1, 10))
     def test_each_worker_is_linked_by_exactly_the_limit(self, entries: int, limit: int) -> None:
         names = [f"entry-{n}" for n in range(entries)]
-        linked = [n for n in names if is_in_view(entry=n, entries=names, worker="w", limit=limit)]
+        linked = [n for n in names if is_in_subset(entry=n, entries=names, worker="w", limit=limit)]
         self.assertEqual(len(linked), min(entries, limit))
