--- a/dalemast/bench/roles.py
+++ b/dalemast/bench/roles.py
@@ -70,7 +70,7 @@
             unit="connections",
             arithmetic=f"entries, at most {LINK_LIMIT}",
             limit=float(WORKER_CONNECTIONS - SLOTS),
-            mechanism="rendezvous view (core/placement/views.py)",
+            mechanism="rendezvous view (core/placement/subsetting.py)",
         ),
         Row(
             what="workers an entry is linked to",
@@ -94,7 +94,7 @@
             unit="us",
             arithmetic="owner.job at all workers",
             limit=1000.0,
-            mechanism="only links with something to send are walked (dispatch/linkbook.py)",
+            mechanism="only links with something to send are walked (dispatch/link_registry.py)",
         ),
         Row(
             what="watching the time",
--- a/dalemast/core/dispatch/base.py
+++ b/dalemast/core/dispatch/base.py
@@ -63,9 +63,9 @@
     """The owner's policy settings. Times are in seconds.
 
     ``queue_limit`` is the number of tasks that a worker is sent beyond its slots when no candidate
-    has a free slot; it must not exceed the queue limit of the agents. Overdue
-    tasks are revoked unless ``revoke_factor`` is 0.
-    ``is_task_by_task`` sends one frame per task, as a baseline for benchmarks.
+    has a free slot; it must not exceed the queue limit of the agents. Overdue tasks are revoked
+    unless ``revoke_factor`` is 0. ``is_task_by_task`` sends one frame per task, as a baseline for
+    benchmarks.
     """
 
     placement: str = "packing"
--- a/dalemast/core/dispatch/exceptions.py
+++ b/dalemast/core/dispatch/exceptions.py
@@ -35,7 +35,7 @@
 
     code = "E1503"
     status = 504
-    hint = "If run is not not_run, a new submission may run the work a second time."
+    hint = "Unless run is not_run, a new submission may run the work a second time."
 
 
 class EndpointFailed(DalemastError):
--- a/dalemast/core/dispatch/forecasting.py
+++ b/dalemast/core/dispatch/forecasting.py
@@ -48,9 +48,9 @@
         observations = self._health.get(account.name).get_service(request.service)
         mean = observations.run_times.get_mean(ASSUMED_RUN_S)
         queued = self._backlog.get_usage(account.name).queued_tasks
-        unstartable = max(0, len(request.payloads) - self._count_free(slots, entries))
+        excess_tasks = max(0, len(request.payloads) - self._count_free(slots, entries))
         return Forecast(
-            queued_s=(queued + unstartable) * mean,
+            queued_s=(queued + excess_tasks) * mean,
             drain_rate=self._get_drain_rate(account, slots, entries),
             run_s=observations.run_times.get(HIGH_QUANTILE, ASSUMED_RUN_S),
         )
--- a/dalemast/core/dispatch/owner.py
+++ b/dalemast/core/dispatch/owner.py
@@ -351,7 +351,9 @@
             item.job.set_state(item.index, TaskState.LOST)
         for item in items:
             if item.job.is_open:
-                error = WorkerLost(f"endpoint {link.view.name} was lost with task {item.index}")
+                error = WorkerLost(
+                    f"endpoint {link.view.name} was lost while it held task {item.index}"
+                )
                 self._fail(item.job, error)
 
     # Time
@@ -374,7 +376,9 @@
             _, number = heapq.heappop(self._deadlines)
             job = self._jobs.get(number)
             if job is not None:
-                self._fail(job, DeadlinePassed("the deadline passed before all answers"))
+                self._fail(
+                    job, DeadlinePassed("the deadline passed before all tasks were answered")
+                )
 
     def _check_overdue(self, link: WorkerLink, now: float) -> None:
         """Revoke each overdue task once, and count it as slow for the health of its worker."""
--- a/dalemast/core/placement/health.py
+++ b/dalemast/core/placement/health.py
@@ -21,6 +21,8 @@
 
 FAILURES_TO_EJECT = 3
 SLOW_FACTOR = 4.0
+"""A run time above this multiple of the median is slow."""
+
 SLOW_SAMPLES = 3
 SLOW_WINDOW = 5
 """A worker is ejected for SLOW_SAMPLES slow run times among this many recent ones."""
@@ -36,6 +38,8 @@
 """Above this share of failures the service itself is at fault, not one worker."""
 
 FAILURE_STEP = 0.02
+"""Weight of one outcome in the failure share of a service."""
+
 FIRST_FAILURE_SHARE = 1.0
 """Initial share: a service counts as broken until it has succeeded, since its first failures
 cannot be attributed to a worker."""
--- a/tests/core/model.py
+++ b/tests/core/model.py
@@ -1,7 +1,7 @@
-"""A model of the whole system round the real core, without processes, sockets or clocks.
+"""A simulated system of entries and agents that runs the real core on a simulated clock.
 
-Links may be cut and opened again, frames dropped with them, duplicated, or delivered late from a
-connection that is already replaced. Agents and entries crash, pause and come back.
+Links may be cut and reopened. Frames may be lost, duplicated, or delivered late from a connection
+that was already replaced. Agents and entries may crash and restart.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class ModelEntry:
-    """One entry incarnation: the real owner, ledger and desk."""
+    """One entry incarnation, with a real owner, ledger and submission handler."""
 
     def __init__(self, name: str, incarnation: str, configuration: Configuration, now: float):
         self.name = name
@@ -82,7 +82,7 @@
 
 @dataclass
 class Connection:
-    """One connection between an entry and an agent, with what is under way in it."""
+    """A connection between an entry and an agent, with its undelivered frames."""
 
     entry: ModelEntry
     worker: str
@@ -95,18 +95,18 @@
 
 @dataclass
 class Submitted:
-    """A submission as its caller knows it, and what the caller was told."""
+    """A submission as known to its caller, with the outcomes that the caller received."""
 
     entry: ModelEntry
     key: TicketKey
     tasks: int
     account: str
     job: int | None = None
-    told: list[tuple[str, Run, tuple[bytes, ...]]] = field(default_factory=list)
+    received: list[tuple[str, Run, tuple[bytes, ...]]] = field(default_factory=list)
 
 
 class Model:
-    """Everything, and the record of what really happened."""
+    """The simulated entries, agents and links, and a record of every task start."""
 
     def __init__(self, entries: int = 2, workers: int = 3) -> None:
         self.now = 100.0
@@ -141,7 +141,7 @@
     # Links
 
     def connect(self, entry: ModelEntry, worker: str) -> None:
-        """Open a new connection; the one before it is cut."""
+        """Open a new connection and cut the previous one."""
         for connection in self.connections:
             if connection.entry is entry and connection.worker == worker:
                 self.cut(connection)
@@ -160,7 +160,7 @@
         self.collect()
 
     def cut(self, connection: Connection) -> None:
-        """Cut a connection: frames to the entry are lost, those to the agent may come late."""
+        """Cut a connection; frames to the entry are lost, those to the agent may arrive late."""
         connection.is_open = False
         self.connections = [other for other in self.connections if other is not connection]
         self.old_frames += [(connection, frame) for frame in connection.to_agent]
@@ -172,7 +172,7 @@
         )
 
     def deliver_to_agent(self, connection: Connection, *, is_duplicated: bool = False) -> None:
-        """Deliver the next frame to an agent, twice if asked to."""
+        """Deliver the next frame to an agent, optionally twice."""
         if not connection.to_agent:
             return
         frame = connection.to_agent.popleft()
@@ -200,7 +200,7 @@
     # Faults
 
     def crash_agent(self, worker: str) -> None:
-        """Kill an agent; its endpoint may finish what it had begun, and nobody hears of it."""
+        """Crash and restart an agent; the outcomes of its running tasks are lost."""
         for connection in list(self.connections):
             if connection.worker == worker:
                 self.cut(connection)
@@ -208,7 +208,7 @@
         self.running[worker] = []
 
     def crash_entry(self, position: int) -> None:
-        """Kill an entry and start a fresh one."""
+        """Crash an entry and start a new incarnation."""
         entry = self.entries[position]
         for connection in list(self.connections):
             if connection.entry is entry:
@@ -216,7 +216,7 @@
         self.entries[position] = self._make_entry(entry.name)
 
     def set_leaving(self, worker: str, *, is_leaving: bool) -> None:
-        """Change the configuration, in force at every entry that is alive."""
+        """Change the state of an endpoint in the configuration of every live entry."""
         self.version += 1
         self.leaving = self.leaving | {worker} if is_leaving else self.leaving - {worker}
         configuration = make_configuration(self.version, self.workers, self.leaving)
@@ -236,7 +236,7 @@
         self.send(submitted, deadline_s)
 
     def send(self, submitted: Submitted, deadline_s: float = 30.0) -> None:
-        """Send a submission to its owner, for the first time or again."""
+        """Send a submission to its owner, as the first request or as a repeat."""
         if submitted.entry not in self.entries:
             return
         request = JobRequest(
@@ -254,13 +254,13 @@
                 now=self.now, key=submitted.key, digest=b"", request=request
             )
         except AnswerForgotten as error:
-            submitted.told.append(("forgotten", error.run, ()))
+            submitted.received.append(("forgotten", error.run, ()))
         except DalemastError as error:
-            submitted.told.append(("refused", error.run, ()))
+            submitted.received.append(("refused", error.run, ()))
         else:
             submitted.job = entry.submission.job
             if entry.result is not None:
-                self._tell(submitted, entry.result)
+                self._record_received(submitted, entry.result)
         self.collect()
 
     def cancel(self, submitted: Submitted) -> None:
@@ -292,7 +292,7 @@
         self.collect()
 
     def advance(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.now += seconds
         for entry in self.entries:
             entry.owner.tick(now=self.now)
@@ -302,7 +302,7 @@
         self.collect()
 
     def collect(self) -> None:
-        """Carry out what every core wants done."""
+        """Carry out the effects that the owners and gates return."""
         for entry in self.entries:
             effects = entry.owner.collect(now=self.now)
             for worker, frame in effects.frames:
@@ -337,17 +337,17 @@
         entry.submission_handler.finish(now=self.now, result=result)
         for submitted in self.submitted:
             if submitted.entry is entry and submitted.job == result.job:
-                self._tell(submitted, result)
+                self._record_received(submitted, result)
 
-    def _tell(self, submitted: Submitted, result: JobResult) -> None:
+    def _record_received(self, submitted: Submitted, result: JobResult) -> None:
         outcome = "complete" if result.is_complete else "failed"
         answers = tuple(bytes(answer) for answer in result.answers)
-        submitted.told.append((outcome, result.run, answers))
+        submitted.received.append((outcome, result.run, answers))
 
-    # What must hold
+    # Checks
 
     def count_starts(self, submitted: Submitted) -> int:
-        """Return how many tasks of a submission were ever started."""
+        """Return the number of task starts of a submission."""
         if submitted.job is None:
             return 0
         prefix = f"{submitted.entry.owner.incarnation}/{submitted.job}/"
--- a/tests/core/test_admission.py
+++ b/tests/core/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission, its forecast, token buckets and the retry budget."""
+"""Admission by limits and deadline, token buckets and the retry budget."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from dalemast.core.exceptions import DalemastError
 from dalemast.core.verdicts import Run
 
-CALM = Forecast(queued_s=0.0, drain_rate=10.0, run_s=0.1)
+LOW_LOAD = Forecast(queued_s=0.0, drain_rate=10.0, run_s=0.1)
 
 
 def make_request(
-    limits: Limits | None = None, forecast: Forecast = CALM, **fields: float
+    limits: Limits | None = None, forecast: Forecast = LOW_LOAD, **fields: float
 ) -> AdmissionRequest:
     values = {
         "tasks": 1,
@@ -58,7 +58,7 @@
 
 
 class AdmissionTests(testtools.TestCase):
-    def test_refusals_have_run_nothing_and_say_when_to_come_back(self) -> None:
+    def test_refusals_are_not_run_and_give_a_retry_time(self) -> None:
         for what, request, error_type in REFUSALS:
             admission = get_admission("deadline")
             error = self.assertRaises(
@@ -68,7 +68,7 @@
             if error_type is not AccountBusy:
                 self.assertGreater(error.retry_after_s, 0, what)
 
-    def test_calm_request_is_admitted(self) -> None:
+    def test_request_within_all_limits_is_admitted(self) -> None:
         get_admission("deadline").check(request=make_request(), entries=1, now=0.0)
 
     def test_limits_are_divided_between_entries(self) -> None:
@@ -105,12 +105,12 @@
             taken += bucket.take(now=now)
             self.assertLessEqual(taken, burst + rate * now + 1e-6)
 
-    def test_clock_that_goes_back_gives_nothing(self) -> None:
+    def test_clock_that_goes_back_adds_no_tokens(self) -> None:
         bucket = TokenBucket(rate_per_s=1.0, burst=1.0, now=100.0)
         self.assertTrue(bucket.take(now=100.0))
         self.assertFalse(bucket.take(now=50.0))
 
-    def test_retry_budget_is_bounded_for_each_account_and_for_all(self) -> None:
+    def test_retry_budget_is_limited_for_each_account_and_in_total(self) -> None:
         budget = RetryBudget(rate_per_s=3.0, now=0.0)
         own = [budget.take(account="a", rate_per_s=2.0, now=0.0) for _ in range(4)]
         self.assertEqual(own, [True, True, False, False])
--- a/tests/core/test_clocks.py
+++ b/tests/core/test_clocks.py
@@ -1,4 +1,4 @@
-"""What is known of another process's clock is never more than it truly shows."""
+"""The bound on the lead of another process's clock must never exceed the true lead."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 delays = st.lists(st.tuples(st.floats(0.0, 5.0), st.floats(0.0, 3.0)), min_size=1, max_size=10)
 
 
-class LeastLeadTests(testtools.TestCase):
+class MinClockLeadTests(testtools.TestCase):
     @given(delays, st.floats(0.0, DRIFT), st.floats(-1e4, 1e4))
     def test_it_is_never_more_than_the_true_lead(
         self, messages: list[tuple[float, float]], slow: float, ahead_s: float
@@ -27,21 +27,21 @@
             lead.observe(told - now, now=now)
             self.assertLessEqual(lead.get(now=now), ahead_s - now * slow + 1e-6)
 
-    def test_nothing_is_known_before_the_first_message(self) -> None:
+    def test_lead_is_unknown_before_the_first_message(self) -> None:
         lead = MinClockLead(drift=DRIFT)
         self.assertFalse(lead.is_known)
         self.assertEqual(float("-inf"), lead.get(now=1.0))
 
-    def test_a_message_that_took_long_does_not_spoil_what_is_known(self) -> None:
+    def test_delayed_message_does_not_lower_the_bound(self) -> None:
         lead = MinClockLead(drift=DRIFT)
         lead.observe(10.0, now=0.0)
         lead.observe(9.0, now=1.0)
         self.assertAlmostEqual(10.0 - DRIFT, lead.get(now=1.0))
 
-    def test_clocks_that_part_faster_are_followed(self) -> None:
-        """Each of two hosts may be slewed by 0.0005, one forth and one back: by 0.001 together.
+    def test_clocks_that_drift_faster_than_assumed_are_followed(self) -> None:
+        """An old lead must not hide later ones when two hosts are slewed in opposite directions.
 
-        A lead that was shown long ago outvotes all later ones then, and errs by more each second.
+        Each by a rate of 0.0005, so that the clocks drift apart by twice the assumed drift.
         """
         lead = MinClockLead(drift=0.0005)
         for second in range(0, 3600, 5):
--- a/tests/core/test_configuration.py
+++ b/tests/core/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: validation, and a version that only grows."""
+"""The configuration: validation, and a version that only increases."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 }
 
 # kind, items, place of the error
-BAD_ITEMS: list[tuple[str, Any, str]] = [
+INVALID_ITEMS: list[tuple[str, Any, str]] = [
     ("accounts", [{"name": 5}], "$.accounts[0].name"),
     ("accounts", [{"name": "a", "colour": "red"}], "$.accounts[0]"),
     ("accounts", [{"name": "a", "limits": {"jobs_per_s": "many"}}], "$.accounts[0].limits"),
@@ -36,8 +36,8 @@
     ("limits", "none", "$.limits"),
 ]
 
-# changes to a good endpoint, place of the error
-BAD_ENDPOINTS: list[tuple[dict[str, Any], str]] = [
+# changes to a valid endpoint, place of the error
+INVALID_ENDPOINTS: list[tuple[dict[str, Any], str]] = [
     ({"agent": "worker.example:8710"}, "$.endpoints[0].agent"),
     ({"slots": 0}, "$.endpoints[0].slots"),
     ({"services": ["unknown"]}, "$.endpoints[0].services"),
@@ -47,26 +47,26 @@
 
 
 class ValidationTests(testtools.TestCase):
-    def test_bad_items_are_refused_with_their_place(self) -> None:
-        for kind, items, place in BAD_ITEMS:
+    def test_invalid_items_are_refused_with_their_place(self) -> None:
+        for kind, items, place in INVALID_ITEMS:
             error = self.assertRaises(ConfigurationInvalid, parse_items, kind, items)
             self.assertTrue(error.place.startswith(place), f"{error.place} for {items}")
 
     def test_unknown_kind_is_refused(self) -> None:
         self.assertRaises(UnknownKind, parse_items, "machines", [])
 
-    def test_bad_endpoints_are_refused_with_their_place(self) -> None:
-        for change, place in BAD_ENDPOINTS:
+    def test_invalid_endpoints_are_refused_with_their_place(self) -> None:
+        for change, place in INVALID_ENDPOINTS:
             configuration = self.make(endpoints=[{**ENDPOINT, **change}])
             error = self.assertRaises(ConfigurationInvalid, validate_configuration, configuration)
             self.assertEqual(error.place, place)
 
-    def test_name_that_stands_twice_is_refused(self) -> None:
+    def test_duplicate_name_is_refused(self) -> None:
         configuration = self.make(endpoints=[ENDPOINT, ENDPOINT])
         error = self.assertRaises(ConfigurationInvalid, validate_configuration, configuration)
         self.assertEqual(error.place, "$.endpoints[1].name")
 
-    def test_good_configuration_passes(self) -> None:
+    def test_valid_configuration_passes(self) -> None:
         validate_configuration(self.make(endpoints=[ENDPOINT]))
 
     def make(self, **kinds: Any) -> Configuration:
--- a/tests/core/test_fairness.py
+++ b/tests/core/test_fairness.py
@@ -1,4 +1,4 @@
-"""Fair queueing over slot time."""
+"""Fair queueing: no account gets more than its share of slot time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class FairQueueTests(testtools.TestCase):
-    def test_flood_leaves_the_other_account_its_turn(self) -> None:
+    def test_account_with_many_items_does_not_block_another(self) -> None:
         queue: FairQueue[str] = FairQueue()
         for number in range(100):
             queue.push(account="flood", item=f"f{number}")
@@ -23,7 +23,7 @@
             queue.charge(account=account, slot_seconds=1.0)
         self.assertIn("q", order[:2])
 
-    def test_idleness_earns_no_credit(self) -> None:
+    def test_idle_account_saves_up_no_share(self) -> None:
         queue: FairQueue[int] = FairQueue()
         queue.push(account="busy", item=0)
         queue.push(account="late", item=0)
--- a/tests/core/test_gate.py
+++ b/tests/core/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate alone: each guard against a second start, and what an agent remembers."""
+"""The gate: guards against a second start of a task, and outcomes kept until confirmed."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class OnceOnlyTests(GateTestCase):
-    def test_repeated_start_is_answered_from_memory(self) -> None:
+    def test_repeated_start_is_ignored(self) -> None:
         self.assertEqual(len(self.send(1, make_start(0)).runs), 1)
         self.assertEqual(self.send(2, make_start(0)).runs, ())
         self.end(0)
@@ -72,7 +72,7 @@
         self.gate.receive(now=NOW, owner="stranger", frame=frame)
         self.assertEqual(self.gate.collect(now=NOW).runs, ())
 
-    def test_revoke_before_its_start_is_remembered(self) -> None:
+    def test_revoke_before_its_start_prevents_the_start(self) -> None:
         effects = self.send(1, revokes=(TaskKey(job=1, index=0),))
         self.assertEqual(effects.frames[0][1].refusals[0].reason, RefusalReason.REVOKED)
         self.assertEqual(self.send(2, make_start(0)).runs, ())
@@ -93,7 +93,7 @@
         self.end(2)
         self.assertEqual(self.gate.started, 4)
 
-    def test_owner_that_was_forgotten_gets_a_new_session(self) -> None:
+    def test_owner_whose_state_was_deleted_gets_a_new_session(self) -> None:
         self.send(1, make_start(0))
         self.end(0)
         self.gate.close_link(now=NOW, owner="o", connection=1)
@@ -101,14 +101,14 @@
         self.assertNotEqual(self.greet(connection=2), self.session)
 
 
-class MemoryTests(GateTestCase):
+class OutcomeTests(GateTestCase):
     def test_unconfirmed_answers_are_sent_again_on_a_new_link(self) -> None:
         self.send(1, make_start(0))
         self.end(0)
         self.greet(connection=2, session=self.session)
         self.assertEqual(len(self.kept[0].answers), 1)
 
-    def test_confirmed_answers_are_forgotten(self) -> None:
+    def test_confirmed_answers_are_dropped(self) -> None:
         self.send(1, make_start(0))
         (_, frame) = self.end(0).frames[0]
         self.greet(connection=2, session=self.session, seen=frame.number)
@@ -120,7 +120,7 @@
         hello = EntryHello(owner="o", entry="e", connection=4)
         self.assertIsNone(self.gate.open_link(now=NOW, hello=hello))
 
-    def test_links_are_bounded(self) -> None:
+    def test_number_of_links_is_limited(self) -> None:
         gate = Gate(worker="w", incarnation="inc", slots=2, queue_limit=1, max_links=2)
         opened = [
             gate.open_link(now=NOW, hello=EntryHello(owner=f"o{n}", entry="e", connection=1))
@@ -128,20 +128,20 @@
         ]
         self.assertEqual([link is not None for link in opened], [True, True, False])
 
-    def test_answers_of_a_job_are_held_until_the_last_while_slots_are_plenty(self) -> None:
+    def test_answers_of_a_job_are_held_until_the_last_while_slots_are_free(self) -> None:
         self.gate = Gate(worker="w", incarnation="inc", slots=8, queue_limit=1)
         self.session = self.greet(connection=1)
         self.send(1, make_start(0, 1))
         self.assertEqual(self.end(0).frames, ())
         self.assertEqual(len(self.end(1).frames[0][1].answers), 2)
 
-    def test_answers_go_at_once_while_slots_are_scarce(self) -> None:
+    def test_answers_are_sent_at_once_while_slots_are_scarce(self) -> None:
         self.send(1, make_start(0, 1))
         self.assertEqual(len(self.end(0).frames[0][1].answers), 1)
 
 
-class StopTests(GateTestCase):
-    def test_draining_gate_hands_back_what_waits_and_finishes_what_runs(self) -> None:
+class DrainAndCancelTests(GateTestCase):
+    def test_draining_gate_refuses_queued_tasks_and_finishes_running_ones(self) -> None:
         self.send(1, make_start(0, 1, 2))
         self.gate.start_draining(now=NOW)
         frame = self.gate.collect(now=NOW).frames[0][1]
@@ -150,7 +150,7 @@
         self.assertEqual(self.gate.running, 2)
         self.assertEqual(self.send(2, make_start(3)).runs, ())
 
-    def test_cancel_drops_what_waits_and_nothing_that_runs(self) -> None:
+    def test_cancel_drops_queued_tasks_only(self) -> None:
         self.send(1, make_start(0, 1, 2))
         frame = self.send(2, cancels=(1,)).frames[0][1]
         self.assertEqual([r.reason for r in frame.refusals], [RefusalReason.CANCELLED])
@@ -167,8 +167,11 @@
         self.assertEqual(frame.refusals[0].reason, RefusalReason.UNREACHABLE)
 
 
-class GrantTests(testtools.TestCase):
-    """A free slot is offered to one waiting owner, and kept for it a moment."""
+class SlotOfferTests(testtools.TestCase):
+    """A free slot is offered to one waiting owner, and reserved for a short time.
+
+    Offered to all of them, it would cause a refusal for every owner but one.
+    """
 
     def setUp(self) -> None:
         super().setUp()
@@ -191,7 +194,7 @@
         frames = self.gate.collect(now=now).frames
         return [owner for owner, frame in frames if not frame.answers]
 
-    def test_only_the_longest_waiting_owner_is_told(self) -> None:
+    def test_slot_is_offered_to_the_longest_waiting_owner_only(self) -> None:
         self.send("a", 1, 0)
         self.send("b", 1, 0, now=NOW + 0.1)
         self.send("c", 1, 0, now=NOW + 0.2)
@@ -199,7 +202,7 @@
         self.assertEqual(self.send("c", 2, 1, now=NOW + 1), [])
         self.assertEqual(self.send("b", 2, 1, now=NOW + 1), ["b"])
 
-    def test_grant_that_is_not_taken_lapses(self) -> None:
+    def test_unused_reservation_expires(self) -> None:
         self.send("a", 1, 0)
         self.send("b", 1, 0, now=NOW + 0.1)
         self.free(NOW + 1)
--- a/tests/core/test_health.py
+++ b/tests/core/test_health.py
@@ -1,4 +1,4 @@
-"""Bad workers are told from bad luck, and from another account's rubbish."""
+"""Failing and slow workers are ejected; healthy ones are not, whatever other accounts send."""
 
 from __future__ import annotations
 
@@ -36,11 +36,11 @@
         )
 
     def send(self) -> int:
-        """Send a task to the worker w0 and return its trial."""
+        """Send a task to the worker w0 and return its trial number."""
         return self.health.note_sent("w0", 1)
 
     def end(self, trial: int) -> None:
-        """End a task of a trial well."""
+        """End a task of w0 successfully."""
         self.health.note_resolved("w0", trial=trial)
         self.observe(0, now=NOW + 4.0, trial=trial)
 
@@ -51,20 +51,20 @@
 
 
 class FailureTests(HealthTestCase):
-    def test_worker_that_fails_what_works_elsewhere_is_ejected(self) -> None:
+    def test_worker_that_fails_a_working_service_is_ejected(self) -> None:
         self.work()
         for _ in range(3):
             self.observe(0, run_s=0.001, fails=True)
         self.assertEqual(self.health.ejected, ("w0",))
         self.assertEqual(self.health.get_allowance("w0", 8), 0)
 
-    def test_service_that_fails_everywhere_ejects_nobody(self) -> None:
+    def test_service_that_fails_everywhere_ejects_no_worker(self) -> None:
         for _ in range(20):
             for worker in range(WORKERS):
                 self.observe(worker, fails=True)
         self.assertEqual(self.health.ejected, ())
 
-    def test_first_failures_of_an_unknown_service_prove_nothing(self) -> None:
+    def test_first_failures_of_an_unknown_service_eject_no_worker(self) -> None:
         for _ in range(10):
             self.observe(0, fails=True)
         self.assertEqual(self.health.ejected, ())
@@ -89,7 +89,7 @@
         self.observe(0, now=NOW + 3.1, trial=trial)
         self.assertEqual(self.health.get_allowance("w0", 8), 8)
 
-    def test_failed_probation_waits_longer(self) -> None:
+    def test_failed_probation_doubles_the_ejection_time(self) -> None:
         self.work()
         for _ in range(3):
             self.observe(0, fails=True)
@@ -100,10 +100,9 @@
         self.assertTrue(self.health.tick(now=NOW + 13.0))
 
     def test_only_the_task_on_trial_decides_about_a_worker(self) -> None:
-        """Tasks that were out when their worker was ejected come back during its trial.
+        """Tasks sent before an ejection that end during the trial must not decide the trial.
 
-        Their ends were taken for the trial's: another task was sent while the first was out, and a
-        worker was trusted again by a task that it had got before it turned bad.
+        Otherwise the worker is readmitted, or gets a second trial task, because of an old success.
         """
         self.work()
         early = [self.send() for _ in range(2)]
@@ -119,20 +118,20 @@
         self.end(early[1])
         self.assertEqual(self.health.get_allowance("w0", 8), 8)
 
-    def test_failed_trial_of_another_account_only_concerns_workers_found_bad(self) -> None:
+    def test_failed_trial_of_another_account_ejects_no_healthy_worker(self) -> None:
         self.work()
         self.health.postpone_trial(worker="w1", now=NOW)
         self.assertEqual(self.health.ejected, ())
 
 
 class SpeedTests(HealthTestCase):
-    def test_straggler_is_ejected_by_its_run_times(self) -> None:
+    def test_slow_worker_is_ejected_by_its_run_times(self) -> None:
         self.work()
         for _ in range(6):
             self.observe(0, run_s=1.0)
         self.assertEqual(self.health.ejected, ("w0",))
 
-    def test_straggler_is_noticed_before_its_tasks_end(self) -> None:
+    def test_slow_worker_is_ejected_before_its_tasks_end(self) -> None:
         self.work()
         for _ in range(6):
             self.health.observe_overdue(
@@ -140,7 +139,7 @@
             )
         self.assertEqual(self.health.ejected, ("w0",))
 
-    def test_service_that_gets_slow_everywhere_ejects_nobody(self) -> None:
+    def test_service_that_gets_slow_everywhere_ejects_no_worker(self) -> None:
         self.work()
         for _ in range(12):
             for worker in range(WORKERS):
--- a/tests/core/test_imports.py
+++ b/tests/core/test_imports.py
@@ -1,4 +1,4 @@
-"""The core does no input or output, and its imports show it."""
+"""The core must not import modules that do input or output."""
 
 from __future__ import annotations
 
--- a/tests/core/test_ledger.py
+++ b/tests/core/test_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger: what is kept, what is forgotten, and what is said of it then."""
+"""The submission ledger: kept and evicted results, and the run status after eviction."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
         result = JobResult(job=job, account="a", run=run, answers=(msgspec.Raw(b"x" * 100),))
         self.ledger.finish(result=result, now=0.0, kept_bytes=kept_bytes)
 
-    def take_ticket(self) -> TicketKey:
+    def issue_ticket(self) -> TicketKey:
         return TicketKey(number=self.ledger.issue())
 
-    def test_forgotten_answers_keep_their_word(self) -> None:
+    def test_evicted_answers_keep_their_run_status(self) -> None:
         for run in Run:
-            key = self.take_ticket()
+            key = self.issue_ticket()
             self.finish(self.open(key), run)
             self.ledger.tick(now=1000.0)
             error = self.assertRaises(AnswerForgotten, self.ledger.find, key)
@@ -50,27 +50,27 @@
         self.assertEqual(len(self.ledger), 0)
         self.assertEqual(self.ledger.kept_bytes, 0)
 
-    def test_open_submission_is_never_forgotten(self) -> None:
-        key = self.take_ticket()
+    def test_open_submission_is_never_evicted(self) -> None:
+        key = self.issue_ticket()
         self.open(key)
         self.ledger.tick(now=10_000.0)
         self.assertIsNotNone(self.ledger.find(key))
 
-    def test_refused_key_is_not_run_for_good(self) -> None:
-        key = self.take_ticket()
+    def test_refused_key_stays_not_run(self) -> None:
+        key = self.issue_ticket()
         self.ledger.refuse(key)
         error = self.assertRaises(AnswerForgotten, self.ledger.find, key)
         self.assertIs(error.run, Run.NOT_RUN)
 
     def test_account_over_its_limit_loses_its_oldest_answer_only(self) -> None:
-        keys = [self.take_ticket() for _ in range(3)]
+        keys = [self.issue_ticket() for _ in range(3)]
         for key in keys:
             self.finish(self.open(key), kept_bytes=250)
         self.assertRaises(AnswerForgotten, self.ledger.find, keys[0])
         self.assertIsNotNone(self.ledger.find(keys[1]))
         self.assertEqual(self.ledger.kept_bytes, 200)
 
-    def test_ticket_lives_as_long_as_its_life(self) -> None:
+    def test_ticket_expires_after_its_lifetime(self) -> None:
         number = self.ledger.issue()
         self.ledger.check_not_expired(number=number, issued_ms=0, now=59.0)
         arguments = {"number": number, "issued_ms": 0, "now": 61.0}
@@ -78,7 +78,7 @@
         arguments = {"number": 99, "issued_ms": 0, "now": 0.0}
         self.assertRaises(TicketInvalid, self.ledger.check_not_expired, **arguments)
 
-    def test_claims_that_were_let_go_are_not_started_again(self) -> None:
+    def test_evicted_claims_are_not_started_again(self) -> None:
         self.patch(ledger_module, "MAX_CLAIMS_REMEMBERED", 2)
         keys = [ClaimKey(account="a", key=f"k{n}") for n in range(3)]
         self.ledger.check_claim(keys[0])
--- a/tests/core/test_owner.py
+++ b/tests/core/test_owner.py
@@ -1,4 +1,4 @@
-"""The owner alone: limits, fairness, retries, deadlines, cancellations, revokes."""
+"""The owner: limits, fairness, retries, deadlines, cancellations and revokes."""
 
 from __future__ import annotations
 
@@ -147,7 +147,7 @@
 class LimitTests(OwnerTestCase):
     limits = Limits(running_tasks=2)
 
-    def test_running_tasks_of_an_account_are_bounded_and_others_go_on(self) -> None:
+    def test_limit_of_running_tasks_does_not_affect_other_accounts(self) -> None:
         self.submit(4)
         self.submit(2, account="b")
         ((_, frame),) = self.collect().frames
@@ -157,7 +157,7 @@
 class RefusalTests(OwnerTestCase):
     limits = Limits(retries_per_s=1.0)
 
-    def test_refused_task_is_placed_again_when_there_is_room(self) -> None:
+    def test_refused_task_is_sent_again_when_capacity_is_free(self) -> None:
         job = self.submit(1)
         self.collect()
         self.assertEqual(self.refuse(job, 0, RefusalReason.FULL, running=SLOTS).frames, ())
@@ -165,14 +165,14 @@
         self.assertEqual(frame.starts[0].tasks[0].index, 0)
         self.assertEqual(self.owner.replaced_tasks, 1)
 
-    def test_beyond_the_retry_budget_a_task_waits_for_the_next_tick(self) -> None:
+    def test_task_above_the_retry_budget_waits_for_the_next_tick(self) -> None:
         job = self.submit(2)
         self.collect()
         self.assertEqual(len(self.refuse(job, 0, RefusalReason.UNREACHABLE).frames), 1)
         self.assertEqual(self.refuse(job, 1, RefusalReason.UNREACHABLE).frames, ())
         self.assertEqual(len(self.tick(0.02).frames), 1)
 
-    def test_draining_costs_no_retry(self) -> None:
+    def test_refusal_by_a_draining_agent_uses_no_retry(self) -> None:
         job = self.submit(3)
         self.collect()
         for index in range(3):
@@ -189,14 +189,14 @@
         (result,) = self.tick(2.0).results
         self.assertIs(result.run, Run.NOT_RUN)
 
-    def test_deadline_ends_a_silent_job_as_may_have_run_and_cancels_it(self) -> None:
+    def test_deadline_ends_an_unanswered_job_as_may_have_run_and_cancels_it(self) -> None:
         job = self.submit(2, deadline_s=1.0)
         self.collect()
         effects = self.tick(2.0)
         self.assertIs(effects.results[0].run, Run.MAY_HAVE_RUN)
         self.assertEqual([frame.cancels for _, frame in effects.frames], [(job,)])
 
-    def test_cancel_is_one_message_an_agent(self) -> None:
+    def test_cancel_sends_one_job_number_per_agent(self) -> None:
         job = self.submit(4)
         self.collect()
         self.owner.cancel(job=job, error=JobCancelled("no more"))
@@ -219,14 +219,14 @@
 
 
 class SessionTests(OwnerTestCase):
-    def test_same_session_gets_the_unresolved_tasks_again(self) -> None:
+    def test_unresolved_tasks_are_sent_again_in_the_same_session(self) -> None:
         self.submit(2)
         self.collect()
         self.owner.close_link(worker="e")
         ((_, frame),) = self.link("session-1").frames
         self.assertEqual(len(frame.starts[0].tasks), 2)
 
-    def test_new_session_means_that_what_was_sent_is_lost(self) -> None:
+    def test_new_session_loses_the_tasks_sent_before(self) -> None:
         self.submit(2)
         self.collect()
         self.owner.close_link(worker="e")
@@ -242,7 +242,7 @@
         self.numbers -= 1
         self.assertEqual(self.receive(answers=(answer,)).results, ())
 
-    def test_confirmation_goes_alone_only_after_its_time(self) -> None:
+    def test_confirmation_without_other_content_is_delayed(self) -> None:
         job = self.submit(1)
         self.collect()
         self.receive(answers=(TaskAnswer(job=job, index=0),))
@@ -254,7 +254,7 @@
 class RevokeTests(OwnerTestCase):
     policy = OwnerPolicy(admission="open", queue_limit=2)
 
-    def test_overdue_task_is_asked_back_once(self) -> None:
+    def test_overdue_task_is_revoked_once(self) -> None:
         job = self.submit(1)
         self.collect()
         ((_, frame),) = self.tick(3.0).frames
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: room, tiers, sampling, and the view of each entry."""
+"""Placement: free capacity, tiers, candidates, and the subset of entries for each worker."""
 
 from __future__ import annotations
 
@@ -56,15 +56,15 @@
         )
         return {allotment.worker.name: allotment.count for allotment in allotments}
 
-    def test_packing_takes_one_worker_where_one_has_room_for_all(self) -> None:
+    def test_packing_uses_one_worker_if_one_has_capacity_for_all(self) -> None:
         chosen = self.choose("packing", 6, [make_view(0, 4), make_view(1, 1), make_view(2, 5)])
         self.assertEqual(chosen, {"e1": 6})
 
-    def test_spreading_levels_the_load(self) -> None:
+    def test_spreading_balances_the_load(self) -> None:
         chosen = self.choose("spreading", 6, [make_view(0, 4), make_view(1, 4), make_view(2, 4)])
         self.assertEqual(chosen, {"e0": 2, "e1": 2, "e2": 2})
 
-    def test_near_workers_go_first_and_the_rest_spills_over(self) -> None:
+    def test_workers_of_the_same_data_centre_go_first(self) -> None:
         views = [make_view(0, 5), make_view(1, 0, "waco")]
         self.assertEqual(self.choose("packing", 4, views), {"e0": 3, "e1": 1})
 
@@ -94,7 +94,7 @@
         for policy in ("packing", "spreading"):
             self.assertEqual(self.choose(policy, 5, views), {})
 
-    def test_worker_that_refused_is_left_alone_until_it_tells_of_room(self) -> None:
+    def test_worker_that_refused_gets_nothing_until_it_reports_capacity(self) -> None:
         view = make_view(0)
         view.await_capacity()
         self.assertEqual(self.choose("packing", 1, [view]), {})
@@ -141,7 +141,7 @@
         self.assertEqual(pool.get_views(), [])
 
 
-class ViewTests(testtools.TestCase):
+class SubsettingTests(testtools.TestCase):
     @given(st.integers(1, 30), st.integers(1, 10))
     def test_each_worker_is_linked_by_exactly_the_limit(self, entries: int, limit: int) -> None:
         names = [f"entry-{n}" for n in range(entries)]
--- a/tests/core/test_promises.py
+++ b/tests/core/test_promises.py
@@ -1,6 +1,6 @@
-"""The promises under random interleavings of everything that can happen.
+"""The guarantees to callers and operators, under random interleavings of events and faults.
 
-Each invariant is one promise of the brief. ``make soak`` runs the same machine with fresh seeds.
+Each invariant checks one guarantee. ``make soak`` runs the same state machine with new seeds.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 class PromisesMachine(RuleBasedStateMachine):
-    """Entries, agents and links in every order that hypothesis can think of."""
+    """A state machine in which hypothesis draws the order of calls, deliveries and faults."""
 
     def __init__(self) -> None:
         super().__init__()
         self.model = Model()
         self.versions = {entry.name: 0 for entry in self.model.entries}
 
-    # What callers do
+    # Callers
 
     @rule(
         entry=ENTRIES,
@@ -51,7 +51,7 @@
         if self.model.submitted:
             self.model.cancel(self.model.submitted[which % len(self.model.submitted)])
 
-    # What links do
+    # Links
 
     @rule(which=ANY, is_duplicated=st.booleans())
     def deliver_to_agent(self, which: int, is_duplicated: bool) -> None:
@@ -99,7 +99,7 @@
             self.model.cut(link)
             self.model.connect(link.entry, link.worker)
 
-    # What endpoints do
+    # Endpoints
 
     @rule(which=ANY, kind=st.sampled_from(OutcomeKind))
     def complete(self, which: int, kind: OutcomeKind) -> None:
@@ -112,7 +112,7 @@
         while self.model.running[worker]:
             self.model.complete(worker, 0, OutcomeKind.ANSWERED)
 
-    # What fails, and what operators do
+    # Faults and operators
 
     @rule(worker=WORKERS)
     def crash_agent(self, worker: str) -> None:
@@ -140,7 +140,7 @@
     def pass_time(self, seconds: float) -> None:
         self.model.advance(seconds)
 
-    # What must always hold
+    # Invariants
 
     @invariant()
     def no_task_starts_twice(self) -> None:
@@ -150,32 +150,34 @@
     @invariant()
     def answer_is_complete_or_failed(self) -> None:
         for submitted in self.model.submitted:
-            for outcome, _, answers in submitted.told:
+            for outcome, _, answers in submitted.received:
                 assert len(answers) == (submitted.tasks if outcome == "complete" else 0)
 
     @invariant()
     def caller_gets_its_own_whole_answer(self) -> None:
         for submitted in self.model.submitted:
             wanted = tuple(b'"%d/%d"' % (submitted.job or 0, n) for n in range(submitted.tasks))
-            told = {answers for outcome, _, answers in submitted.told if outcome == "complete"}
-            assert told <= {wanted}, (told, wanted)
+            complete = {
+                answers for outcome, _, answers in submitted.received if outcome == "complete"
+            }
+            assert complete <= {wanted}, (complete, wanted)
 
     @invariant()
-    def told_the_same_each_time(self) -> None:
+    def caller_gets_the_same_outcome_each_time(self) -> None:
         for submitted in self.model.submitted:
-            outcomes = {told[0] for told in submitted.told} - {"forgotten"}
-            assert len(outcomes) <= 1, submitted.told
+            outcomes = {received[0] for received in submitted.received} - {"forgotten"}
+            assert len(outcomes) <= 1, submitted.received
 
     @invariant()
-    def not_run_is_a_promise(self) -> None:
+    def not_run_means_no_task_started(self) -> None:
         for submitted in self.model.submitted:
-            if any(run is Run.NOT_RUN for _, run, _ in submitted.told):
+            if any(run is Run.NOT_RUN for _, run, _ in submitted.received):
                 assert self.model.count_starts(submitted) == 0
 
     @invariant()
-    def ran_is_true(self) -> None:
+    def ran_means_a_task_started(self) -> None:
         for submitted in self.model.submitted:
-            if any(run is Run.RAN for _, run, _ in submitted.told):
+            if any(run is Run.RAN for _, run, _ in submitted.received):
                 assert self.model.count_starts(submitted) > 0
 
     @invariant()
@@ -189,7 +191,7 @@
             self.versions[entry.name] = entry.holder.version
 
     def teardown(self) -> None:
-        """When faults end, every job of a living entry gets its answer."""
+        """After the faults end, every submission to a live entry must get an outcome."""
         for _ in range(40):
             for entry in self.model.entries:
                 for worker in self.model.workers:
@@ -201,9 +203,9 @@
             self.model.advance(5.0)
         for submitted in self.model.submitted:
             if submitted.entry in self.model.entries:
-                assert submitted.told, "a job has no answer"
+                assert submitted.received, "a job has no answer"
         self.no_task_starts_twice()
-        self.not_run_is_a_promise()
+        self.not_run_means_no_task_started()
         for gate in self.model.gates.values():
             assert gate.running == 0
 
--- a/tests/core/test_selectors.py
+++ b/tests/core/test_selectors.py
@@ -1,4 +1,4 @@
-"""Selectors: what parses, what does not, and the index against plain matching."""
+"""Selectors: valid and invalid texts, and the index compared with direct matching."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from dalemast.core.selectors import LabelIndex, SelectorSyntaxError, parse_selector
 
-GOOD = [
+VALID = [
     ("", {"hall": "austin"}, True),
     ("hall=austin", {"hall": "austin"}, True),
     ("hall==austin", {"hall": "waco"}, False),
@@ -21,7 +21,7 @@
     ("hall=austin, tier in (gold,silver), !spare", {"hall": "austin", "tier": "gold"}, True),
 ]
 
-BAD = ["=", "hall=", "hall in austin", "hall in ()", "a=b,,c=d", "a=b;c=d", "hall in (a", "é=1"]
+INVALID = ["=", "hall=", "hall in austin", "hall in ()", "a=b,,c=d", "a=b;c=d", "hall in (a", "é=1"]
 
 LABELS = st.dictionaries(st.sampled_from("abc"), st.sampled_from("xyz"))
 REQUIREMENTS = st.sampled_from(
@@ -30,12 +30,12 @@
 
 
 class ParserTests(testtools.TestCase):
-    def test_good_selectors(self) -> None:
-        for text, labels, is_met in GOOD:
+    def test_valid_selectors_match_as_written(self) -> None:
+        for text, labels, is_met in VALID:
             self.assertEqual(parse_selector(text).is_met_by(labels), is_met, text)
 
-    def test_bad_selectors_are_refused_with_their_place(self) -> None:
-        for text in BAD:
+    def test_invalid_selectors_are_refused_with_their_place(self) -> None:
+        for text in INVALID:
             error = self.assertRaises(SelectorSyntaxError, parse_selector, text)
             self.assertTrue(error.place.startswith("$.selector"), text)
 
