--- a/dalemast/core/dispatch/backlog.py
+++ b/dalemast/core/dispatch/backlog.py
@@ -78,5 +78,5 @@
         return [items[position] for position in range(min(limit, len(items)))]
 
     def charge(self, account: str, slot_seconds: float) -> None:
-        """Add used slot time to an account's share."""
+        """Add used slot time to an account's virtual time."""
         self._queue.charge(account=account, slot_seconds=slot_seconds)
--- a/dalemast/core/dispatch/dispatching.py
+++ b/dalemast/core/dispatch/dispatching.py
@@ -15,7 +15,8 @@
 __all__ = ["Dispatcher"]
 
 JOBS_SCANNED_PER_ACCOUNT = 8
-"""Jobs of one account that are tried in one turn, so that one that fits nowhere blocks few."""
+"""Maximum number of an account's jobs tried in one turn. A job that fits no worker must not block
+all jobs behind it."""
 
 
 class Dispatcher:
--- a/dalemast/core/dispatch/owner.py
+++ b/dalemast/core/dispatch/owner.py
@@ -47,6 +47,7 @@
 
 OVERDUE_FACTOR = 4.0
 MIN_OVERDUE_S = 0.3
+"""A task is overdue after OVERDUE_FACTOR times its expected run time, and this at least."""
 
 
 class Owner:
@@ -239,7 +240,7 @@
             link.view.is_linked = False
 
     def lose_worker(self, *, worker: str) -> None:
-        """Fail the jobs of an unreachable worker's tasks, as may have run."""
+        """Fail the jobs with tasks at an unreachable worker; those tasks may have run."""
         link = self._links.get(worker)
         if link is not None and link.outstanding:
             self._fail_lost_tasks(link, link.reset_session(""))
@@ -381,7 +382,7 @@
                 )
 
     def _check_overdue(self, link: WorkerLink, now: float) -> None:
-        """Revoke each overdue task once, and count it as slow for the health of its worker."""
+        """Revoke each overdue task once, and record it as slow for the health of its worker."""
         for key, item in list(link.outstanding.items()):
             if key in link.overdue:
                 continue
--- a/dalemast/core/fairness/queues.py
+++ b/dalemast/core/fairness/queues.py
@@ -50,8 +50,8 @@
     ) -> None:
         """Append an item to the queue of its account, or put it first.
 
-        An idle account resumes at the current virtual time; otherwise it could use the time saved
-        up while idle to block the others.
+        An account that was idle resumes at the current virtual time. Otherwise it would be served
+        alone until its virtual time has caught up with the others.
         """
         share = self._shares.setdefault(account, _Share())
         if not share.items:
--- a/dalemast/core/gate/gate.py
+++ b/dalemast/core/gate/gate.py
@@ -43,7 +43,7 @@
 slots that become free."""
 
 WHOLE_MS_THRESHOLD = 20.0
-"""Times from this on are rounded to whole milliseconds."""
+"""Times of this length and more are rounded to whole milliseconds."""
 
 EXPECTED_RUN_S = 0.2
 """Slot-seconds charged when a task starts; corrected when it ends."""
@@ -295,7 +295,7 @@
     def _offer_free_slots(self, now: float) -> None:
         """Offer each free slot to one owner, those that have waited longest first.
 
-        If all owners were told of the same slot, all but one would be refused again.
+        If the same slot were offered to all owners, all but one would be refused again.
         """
         free = self._slots - self._running - len(self._queue)
         free -= sum(now < owner.slot_reserved_until for owner in self._owners.values())
--- a/dalemast/core/placement/choices.py
+++ b/dalemast/core/placement/choices.py
@@ -26,8 +26,8 @@
     """Base of the policies that use the estimated free capacity of workers.
 
     Workers of the local data centre go first, then the others, and last those with an overdue
-    task, which may be slow. These are not excluded, since an account could otherwise block a worker
-    for all others with long tasks.
+    task, which may be slow. The last ones are not excluded: otherwise an account with long tasks
+    could make a worker unavailable to the other accounts.
     """
 
     def __init__(self, *, data_centre: str = "", queue_limit: int = 0) -> None:
@@ -103,7 +103,7 @@
 class PackingPlacement(_CapacityPlacement):
     """Use as few workers as possible, those with the most free capacity first.
 
-    Each worker less saves a start message and an answer message.
+    Each worker that is not needed saves a start message and an answer message.
     """
 
     def _allot(
--- a/dalemast/core/placement/workers.py
+++ b/dalemast/core/placement/workers.py
@@ -13,7 +13,7 @@
 __all__ = ["WorkerPool", "WorkerView"]
 
 OTHERS_HALF_LIFE_S = 0.25
-"""Half-life of a report of other entries' load, in seconds; the average replaces it by age."""
+"""Half-life of the weight of a load report, in seconds; the average gains what it loses."""
 
 AVERAGE_HALF_LIFE_S = 0.5
 """Half-life of the average load without new reports, in seconds."""
@@ -104,7 +104,7 @@
     def open_session(self, *, session: str, slots: int) -> None:
         """Start or resume a session.
 
-        Stop waiting for free capacity, since the agent may have forgotten the earlier refusal.
+        Stop waiting for free capacity, since the agent may have lost the record of its refusal.
         """
         self.session = session
         self.slots = min(slots, self.endpoint.slots)
--- a/dalemast/core/submissions/handler.py
+++ b/dalemast/core/submissions/handler.py
@@ -37,8 +37,8 @@
     ) -> LedgerEntry:
         """Start a submission, or return the one that was started under the same key.
 
-        A refusal raises an error and is stored: the caller was told that nothing ran, so a delayed
-        copy of the request must not run either.
+        A refusal raises an error and is stored: the error reports that nothing ran, so a
+        delayed copy of the request must not run either.
         """
         entry = self._ledger.find(key, digest=digest)
         if entry is not None:
