--- a/tests/base.py
+++ b/tests/base.py
@@ -1,4 +1,4 @@
-"""What the tests share."""
+"""Helpers shared by the tests."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 from dalemast.local import LocalProcess
 
 PATIENCE_S = 20.0
-"""Bound on waiting for an event; no test passes because of how long something took."""
+"""Timeout of waits for a condition; generous, so that no test depends on the machine's speed."""
 
 POLL_S = 0.01
 LONGEST_POLL_S = 0.02
-"""What one poll counts for at most."""
+"""Maximum time that one poll adds to the time waited."""
 
 FREE_ADDRESS = "127.0.0.1:0"
 
 
 class AsyncTestCase(testtools.TestCase):
-    """Runs coroutines in a loop of their own."""
+    """A test case that runs coroutines, each in a new event loop."""
 
     def run_async(self, coroutine: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine to its end."""
+        """Run a coroutine and return its result."""
         return asyncio.run(asyncio.wait_for(coroutine, timeout=600))
 
 
 async def wait_until(condition: Callable[[], bool], what: str = "the condition") -> None:
-    """Wait for a condition, with a generous bound.
+    """Wait until a condition holds; raise :class:`AssertionError` after a generous timeout.
 
-    The bound counts the time in which this loop ran. On a crowded host it may stand still for much
-    longer than it sleeps, and what it waits for stands still with it when it runs in this loop.
+    Only time in which this loop ran counts towards the timeout: on a busy host the loop, and what
+    it waits for, may be paused for much longer than it sleeps.
     """
     waited_s = 0.0
     while not condition():
         if waited_s > PATIENCE_S:
-            raise AssertionError(f"waited in vain for {what}")
+            raise AssertionError(f"timed out while waiting for {what}")
         began = time.monotonic()
         await asyncio.sleep(POLL_S)
         waited_s += min(time.monotonic() - began, LONGEST_POLL_S)
@@ -54,7 +54,7 @@
 
 
 class LocalSystem:
-    """A whole system in this loop, as a context manager."""
+    """A context manager that runs a whole system in the current event loop."""
 
     def __init__(self, **arguments: Any) -> None:
         self.process = LocalProcess(
@@ -108,6 +108,6 @@
     async def submit(
         self, body: bytes, *, ticket: str = "", key: str = "", **arguments: Any
     ) -> JsonResponse:
-        """Submit a job under a ticket or a key."""
+        """Submit a job with a ticket or an idempotency key."""
         headers = {"Submission-Ticket": ticket} if ticket else {"Idempotency-Key": key}
         return await self.request("POST", "/v1/jobs", body, headers=headers, **arguments)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of the test run: the same verdict each time, unless a soak asks for fresh seeds."""
+"""Settings of the test run. Hypothesis draws the same cases each time, except with ``--soak``."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
-    """Let ``make soak`` say for how long."""
-    parser.addoption("--soak", type=float, default=0.0, help="Seconds of fresh seeds.")
+    """Add the option that ``make soak`` uses to set its duration."""
+    parser.addoption("--soak", type=float, default=0.0, help="Seconds to run with fresh seeds.")
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Choose the profile."""
+    """Select the hypothesis profile."""
     settings.load_profile("soak" if config.getoption("--soak") else "ci")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let the tests of KNOWN-RED.txt run and fail without failing the run."""
+    """Mark the tests of KNOWN-RED.txt as expected failures: they run, but do not fail the run."""
     known = read_known_red()
     for item in items:
         if item.nodeid in known:
@@ -37,7 +37,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Print the list, whether its tests failed or not."""
+    """Print the tests of KNOWN-RED.txt with their outcomes."""
     outcomes = {
         report.nodeid: name
         for name, known_as in (("failed", "xfailed"), ("passed", "xpassed"))
--- a/tests/histories/__init__.py
+++ b/tests/histories/__init__.py
@@ -1,30 +1,33 @@
-"""Short histories of a small fleet in virtual time, with faults, played by the real processes.
+"""Simulated histories of a small fleet in virtual time, with injected faults.
 
-Entries and agents are the product's own, each with an event loop of its own that is run in turns;
-clocks, connections, workers, the store and callers are modelled. So a history of some seconds plays
-in a few hundredths, a process can stand still while others go on, and the same seed gives the same
-history. ``python -m tests.histories --seeds 1000`` searches for one that breaks a promise.
+Entries and agents are the real processes, each with an event loop of its own that is run turn by
+turn; clocks, connections, workers, the store and callers are modelled. Processes can be paused
+independently, and the same seed gives the same history. ``python -m tests.histories --seeds 1000``
+searches for histories that violate a guarantee.
 
-| module | has |
+| module | contents |
 |---|---|
-| base | histories, their faults, and what is found |
-| clock, network | virtual time, event loops, connections that faults hold, silence or reset |
-| worker, backends | the platform: workers as its pages describe them, the store, callers' ingress |
-| fleet | puts it together; ``ModelFleet.patch`` has all seams to the product |
-| draw | histories from seeds, and the shrinking of those that break a promise |
-| test_orders | orders of events that have a name; each is played with several small times |
-| test_cut_entries | entries that are cut off from one another |
-| test_crashing_tasks | tasks that end every worker that starts them |
-| test_reborn_workers, test_news | workers that begin anew under their ids, and whose room changes |
-| test_suspended_hosts | hosts whose steady clock does not count a while |
+| base | histories, faults and outcomes |
+| clock, network | virtual time, event loops, connections that faults delay, silence or reset |
+| worker, backends | model of the platform: workers, the store, the ingress for callers |
+| fleet | the fleet; ``ModelFleet.patch`` replaces parts of the product by the model |
+| draw | histories drawn from seeds, and shrinking of failing ones |
+| test_orders | specific orders of events, each played with several packet delays |
+| test_cut_entries | network cuts between entries |
+| test_crashing_tasks | tasks that crash each worker they run on |
+| test_reborn_workers, test_news | workers that restart under the same id or change their capacity |
+| test_suspended_hosts | hosts whose monotonic clock does not count a suspension |
 
-Promises that are checked: at each start no other run of the task is going on any worker; nothing of
-a job starts under a submission that was answered as refused; each task of a job that was answered
-as done has ended well once at least; a task that ends its workers is not started three times more
-after three of them; two workers have ended under a job that is answered as failed; nothing starts
-on a worker beyond room that shrank a while ago; no task is preempted twice under its job's first
-submission.
+Guarantees that are checked:
 
-Not modelled: processor time (a turn takes none), packets between a process and its own worker that
-get lost without their call, stops that a worker refuses, data centres, the store's faults.
+- when a run starts, no other run of its task is active on any worker;
+- no task starts under a submission that was answered as refused;
+- each task of a job that was answered as done has completed at least once;
+- a task is started less than three times more after three workers have ended while running it;
+- a job fails only after two workers have ended while running one of its tasks;
+- no run starts beyond a worker's capacity, apart from a grace period after the capacity shrank;
+- no task is preempted twice under the first submission of its job.
+
+Not modelled: processor time (a turn takes none), loss of packets between a process and its worker
+other than with their whole call, stops that a worker refuses, data centres, faults of the store.
 """
--- a/tests/histories/__main__.py
+++ b/tests/histories/__main__.py
@@ -1,6 +1,6 @@
-"""A long search: ``python -m tests.histories --seeds 1000 [--first N] [--processes N] [--cuts]``.
+"""Search for failing histories: ``python -m tests.histories --seeds 1000 [--first N] [--cuts]``.
 
-Prints, for each history that breaks a promise, its seed, what of it is needed, and what happened.
+Prints, for each history that violates a guarantee, its seed, the shrunk history and its trace.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 
 Draw = Callable[[int], History]
-"""Returns the history of a seed."""
+"""A function that returns the history of a seed."""
 
 
 def play_seed(drawn: tuple[Draw, int]) -> tuple[int, Outcome]:
@@ -37,13 +37,13 @@
 
 
 def describe(history: History) -> str:
-    """Return a history with its trace."""
+    """Return the history and its trace as text."""
     outcome = play(history)
     return "\n".join([pprint.pformat(history), *outcome.trace, ""])
 
 
 def name_faults(history: History) -> str:
-    """Return the kinds of faults in a history, and what else it needs, in a line."""
+    """Return a one-line summary of the faults and other conditions of a history."""
     kinds = []
     for fault in history.faults:
         if isinstance(fault, CallFault):
@@ -66,19 +66,19 @@
 
 
 def main() -> int:
-    """Search, and tell what was found."""
+    """Run the search and print its results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--first", type=int, default=0)
     parser.add_argument("--processes", type=int, default=1)
-    parser.add_argument("--cuts", action="store_true", help="entries that are cut off")
-    parser.add_argument("--suspended", action="store_true", help="hosts that are suspended")
-    parser.add_argument("--news", action="store_true", help="reborn workers, rooms that change")
-    parser.add_argument("--preemption", action="store_true", help="urgent jobs that take room")
+    parser.add_argument("--cuts", action="store_true", help="network cuts between entries")
+    parser.add_argument("--suspended", action="store_true", help="suspended hosts")
+    parser.add_argument("--news", action="store_true", help="workers that restart or are resized")
+    parser.add_argument("--preemption", action="store_true", help="urgent jobs that preempt others")
     parser.add_argument("--departures", action="store_true", help="workers that leave with notice")
     parser.add_argument("--load", action="store_true", help="all decisions under load together")
-    parser.add_argument("--as-drawn", action="store_true", help="do not shrink what is found")
-    parser.add_argument("--most", type=int, default=20, help="how many are shown in full")
+    parser.add_argument("--as-drawn", action="store_true", help="do not shrink failing histories")
+    parser.add_argument("--most", type=int, default=20, help="number of histories shown in full")
     arguments = parser.parse_args()
     draw: Draw = draw_cut_history if arguments.cuts else draw_history
     if arguments.suspended:
@@ -111,7 +111,7 @@
     preempted = sum(outcome.preemptions for _, outcome in played)
     moved = sum(outcome.moves for _, outcome in played)
     print(f"{preempted} runs were preempted, {moved} were moved")
-    print(f"{len(broken)} broke a promise: seeds {broken[:200]}")
+    print(f"{len(broken)} violated a guarantee: seeds {broken[:200]}")
     return 1 if broken else 0
 
 
--- a/tests/histories/backends.py
+++ b/tests/histories/backends.py
@@ -1,4 +1,4 @@
-"""The platform's store, callers and reports as the modelled processes see them."""
+"""Backends of the modelled processes: store, ingress and registration."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     )
     for priority, name in enumerate(("draws", "less-urgent"))
 )
-"""By priority."""
+"""The queues, indexed by priority."""
 
 
 class ModelStore(BaseMemberStore):
-    """One configuration, and no list of entries: all are among the seeds."""
+    """A store with one configuration and no members: all entries are configured as seeds."""
 
     def __init__(self, *, settings: Any, metrics: Metrics) -> None:
         del metrics
@@ -61,7 +61,7 @@
 
 
 class ModelIngress(BaseIngress):
-    """Callers speak to the process itself."""
+    """An ingress without listeners: modelled callers call the process directly."""
 
     def start(self) -> None:
         """Do nothing."""
@@ -71,7 +71,7 @@
 
     @property
     def open_connections(self) -> int:
-        """No connection is kept."""
+        """Always 0, since there are no connections."""
         return 0
 
     def close_idle(self) -> int:
@@ -80,10 +80,10 @@
 
 
 class ModelRegistration(BaseRegistration):
-    """Leaves its observer where the worker's reports find it."""
+    """Makes its observer available to the reports of the modelled worker."""
 
     observers: dict[str, Any] = {}
-    """Who takes reports, by the agent's name; of the newest life."""
+    """Observers of reports by agent name, each of the latest incarnation."""
 
     def __init__(self, *, settings: Any, observer: Any, metrics: Metrics) -> None:
         super().__init__(settings=settings, observer=observer, metrics=metrics)
--- a/tests/histories/base.py
+++ b/tests/histories/base.py
@@ -1,6 +1,6 @@
-"""What a history is made of: jobs, faults, and what is found in it. Times are virtual seconds.
+"""Histories: jobs, faults and outcomes. Times are virtual seconds.
 
-Moments count from the first job's arrival on, when the fleet has long found itself together.
+Moments (``at_s``) are relative to the arrival of the first job, when the fleet is up and connected.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 
 
 class CallEffect(enum.Enum):
-    """What becomes of a call to a worker; the platform allows each of them."""
+    """A faulty outcome of a call to a worker, as the platform permits."""
 
     LOST = "lost"
-    """It is never carried out, and not answered."""
+    """The call is never executed or answered."""
     DONE_UNANSWERED = "done unanswered"
-    """It is carried out at once, and not answered."""
+    """The call is executed at once but never answered."""
     DONE_LATE = "done late"
-    """It is carried out later, after newer calls, and not answered."""
+    """The call is executed later, possibly after newer calls, and never answered."""
     ANSWERED_LATE = "answered late"
-    """It is carried out at once; the answer comes later, after newer ones."""
+    """The call is executed at once; its answer arrives later, possibly after newer ones."""
     REJECTED = "rejected"
-    """An unhealthy worker says 503 and does nothing."""
+    """The worker is unhealthy: it answers 503 and does nothing."""
     NO_ROOM = "refused for room"
-    """The worker says that it lacks room, unless the run is there already."""
+    """The worker refuses the call for lack of capacity, unless the run is already active."""
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Freeze:
-    """A process stands still; what arrives meanwhile waits in its sockets."""
+    """A process is paused; data that arrives meanwhile waits in its sockets."""
 
     process: str
     at_s: float
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Suspend:
-    """A host stands still with all that it runs, and its steady clock does not count the time."""
+    """A host is suspended with all its processes; its monotonic clock does not count the time."""
 
     process: str
     at_s: float
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Kill:
-    """A process ends without a word, and a new life of it starts ``for_s`` later."""
+    """A process is killed, and a new incarnation of it starts ``for_s`` later."""
 
     process: str
     at_s: float
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Cut:
-    """Nothing gets from one host to another; connections stay open and what is sent is held."""
+    """Packets from one host to another are held back; the connections stay open."""
 
     sender: str
     receiver: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Silence:
-    """The connections that are open between two hosts fall silent for good; new ones work."""
+    """Open connections between two hosts stop passing data permanently; new ones work."""
 
     first: str
     second: str
@@ -93,7 +93,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Drop:
-    """The connections between two hosts are reset, as by something between them."""
+    """The connections between two hosts are reset, as by a device on the network path."""
 
     first: str
     second: str
@@ -102,9 +102,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallFault:
-    """Calls of one kind to a worker go wrong for a while, ``most`` of them at most.
+    """Calls of one kind to a worker fail for a while, ``most`` of them at most.
 
-    ``kind`` is start, stop or hold. ``delay_s`` says how late what is late is.
+    ``kind`` is start, stop or hold (a poll). ``delay_s`` is the delay of the late effects.
     """
 
     worker: str
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Resize:
-    """A worker has another capacity from now on; its next report says so."""
+    """The capacity of a worker changes; its next report includes the new one."""
 
     worker: str
     at_s: float
@@ -127,9 +127,9 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Leave:
-    """A worker says that it leaves in ``notice_s`` at the soonest, and ends ``stays_s`` later.
+    """A worker gives notice that it leaves in ``notice_s`` at the earliest.
 
-    With ``is_taken_back`` it says at that moment that it stays.
+    It ends ``stays_s`` after that, or with ``is_taken_back`` withdraws the notice at that time.
     """
 
     worker: str
@@ -141,7 +141,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HangUp:
-    """A caller loses its connection and submits its job again. Its entry may not hear of it."""
+    """A caller loses its connection and resubmits its job.
+
+    ``is_heard`` is whether the entry notices that the connection ended.
+    """
 
     job: int
     at_s: float
@@ -153,10 +156,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobPlan:
-    """A job of one step. ``run_s`` has each task's run time.
+    """A job of one step. ``run_s`` has the run time of each task.
 
-    ``crash_s`` has how long after its start each task ends its worker, or None for one that does
-    not; empty for a job of which none does.
+    ``crash_s`` has, for each task, the time from its start to the crash of its worker, or None for
+    a task that does not crash it; it is empty if none does.
     """
 
     at_s: float
@@ -169,10 +172,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class History:
-    """One history. ``seed`` decides what small times the faults leave open.
+    """One history. ``seed`` determines packet delays and other small times.
 
-    ``idle_s`` is how long the fleet had nothing to do before, ``rates`` are how fast the workers'
-    clocks go, one for each worker.
+    ``idle_s`` is how long the fleet is idle before the first job; ``rates`` has the relative speed
+    of each worker's clock.
     """
 
     seed: int
@@ -184,34 +187,34 @@
     idle_s: float = 1.0
     lasts_s: float = 6.0
     keeps_ids: bool = False
-    """Whether a worker that begins anew has the id that it had, and tells its lives apart by when
-    they were born; its counts and its clock begin anew with each."""
+    """Whether a restarted worker keeps its id, so that only the time of birth distinguishes its
+    incarnations; its counters and its clock restart with each of them."""
     back_s: float = 2.5
-    """When a worker that a task has ended is back."""
+    """Time until a worker that a task has crashed is up again."""
     preempts: bool = False
-    """Whether urgent jobs take room from others, as freely as no bound on lost work would allow."""
+    """Whether urgent jobs preempt others, with the bounds on lost work nearly disabled."""
     plans_departures: bool = False
-    """Whether the deployment asks for moves off workers that leave."""
+    """Whether runs are moved off workers that leave."""
     asks_all: bool = False
-    """Whether the deployment asks for all decisions under load."""
+    """Whether all decisions under load are enabled."""
 
 
 @dataclass(kw_only=True, slots=True)
 class Outcome:
-    """What was found: the promises that were broken, and what happened."""
+    """The result of a history. ``broken`` has a line for each violated guarantee."""
 
     broken: list[str] = field(default_factory=list)
     trace: list[str] = field(default_factory=list)
     starts: int = 0
     answers: list[str] = field(default_factory=list)
-    """Of each job that was answered, in order, what its caller got; "none" of the others."""
+    """Class names of the answers to callers in order, then "none" for each unanswered job."""
     states: dict[int, str] = field(default_factory=dict)
-    """By number of a job, from 0, how it ended: succeeded, failed or refused, if it was said."""
+    """Final states of the answered jobs by index: succeeded, failed or refused."""
     crashes: int = 0
-    """How often a task ended its worker."""
+    """Number of workers that were crashed by a task."""
     late_starts: int = 0
-    """The most starts of one task after three workers had ended under it."""
+    """Maximum number of starts of one task after it has crashed three workers."""
     preemptions: int = 0
-    """How many runs were told to give way."""
+    """Number of preempted runs."""
     moves: int = 0
-    """How many runs were moved, off workers that leave or are slow."""
+    """Number of runs moved off workers that leave or are slow."""
--- a/tests/histories/clock.py
+++ b/tests/histories/clock.py
@@ -1,4 +1,4 @@
-"""Virtual time, and event loops that never wait for anything but it."""
+"""Virtual time, and event loops that never wait in real time."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 __all__ = ["EPOCH_S", "ModelHost", "ModelLoop", "Timeline"]
 
 EPOCH_S = 1_700_000_000.0
-"""The time of day at the beginning; only its rise matters, for fencing tokens."""
+"""Unix time that corresponds to virtual time 0; fencing tokens need it to increase."""
 BEGIN_S = 1_000.0
-"""The steady clock at the beginning. Not 0, which some code takes for never."""
+"""Initial value of the monotonic clock. Not 0, which some code uses for "never"."""
 
 
 class Timeline:
-    """The clock, and what happens outside of all processes, in order of time."""
+    """The virtual clock, and scheduled events outside of all processes."""
 
     def __init__(self) -> None:
         self.now = BEGIN_S
@@ -26,19 +26,19 @@
         self._numbers = itertools.count()
 
     def get_now(self) -> float:
-        """Return the steady clock."""
+        """Return the monotonic clock."""
         return self.now
 
     def get_time_of_day(self) -> float:
-        """Return the time of day."""
+        """Return the Unix time."""
         return EPOCH_S + self.now
 
     def call_at(self, at: float, call: Callable[[], None]) -> None:
-        """Let something happen at a moment; what is planned first for it happens first."""
+        """Schedule a call at a time; calls for the same time run in the order of scheduling."""
         heapq.heappush(self._events, (at, next(self._numbers), call))
 
     def call_later(self, delay_s: float, call: Callable[[], None]) -> None:
-        """Let something happen in a while."""
+        """Schedule a call after a delay."""
         self.call_at(self.now + delay_s, call)
 
     def get_next(self) -> float:
@@ -46,13 +46,13 @@
         return self._events[0][0] if self._events else float("inf")
 
     def play_due(self) -> None:
-        """Let all happen that is due."""
+        """Run all events that are due."""
         while self._events and self._events[0][0] <= self.now:
             heapq.heappop(self._events)[2]()
 
 
 class SilentSelector(selectors.SelectSelector):
-    """Never waits and never has news: what arrives comes by :meth:`ModelHost.take`."""
+    """Never waits and never reports events; data arrives through :meth:`ModelHost.take`."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
         """Return no events."""
@@ -66,35 +66,35 @@
         super().__init__(SilentSelector())
         self._timeline = timeline
         self.connect: Callable[..., Any] | None = None
-        """Opens a connection of the model: host, port."""
+        """Opens a modelled connection to an address."""
         self.host: ModelHost | None = None
 
     @property
     def lost_s(self) -> float:
-        """How much time the host's steady clock has not counted."""
+        """Total time that the host's monotonic clock has not counted."""
         return 0.0 if self.host is None else self.host.lost_s
 
     def time(self) -> float:
-        """Return the host's steady clock."""
+        """Return the host's monotonic clock."""
         return self._timeline.now - self.lost_s
 
     def get_next(self) -> float:
-        """Return when this loop wants to run next."""
+        """Return when this loop has to run next."""
         if self._ready:
             return self._timeline.now
         if not self._scheduled:
             return float("inf")
         first = self._scheduled[0]
-        # A turn drops cancelled timers.
+        # A cancelled timer needs a turn too, which removes it.
         return self._timeline.now if first.cancelled() else first.when() + self.lost_s
 
     def turn(self) -> None:
-        """Run what is ready and what is due, once."""
+        """Run the ready callbacks and the due timers once."""
         self.stop()
         self.run_forever()
 
     async def create_connection(self, factory: Any, host: Any = None, port: Any = None) -> Any:
-        """Open a connection for a protocol."""
+        """Open a modelled connection and attach a protocol to it."""
         assert self.connect is not None
         end = await self.connect(f"{host}:{port}")
         protocol = factory()
@@ -103,16 +103,16 @@
         return end, protocol
 
     async def sock_connect(self, sock: Any, address: Any) -> None:
-        """Wait as long as a connection to an address would take."""
+        """Wait as long as connecting to the address takes."""
         assert self.connect is not None
         end = await self.connect(f"{address[0]}:{address[1]}")
         end.abort()
 
 
 class ModelHost:
-    """A process, or a worker, or nothing while it is down: takes what arrives, in order.
+    """A process or a worker, up or down, which handles what arrives in order.
 
-    Without a loop, what arrives is acted on at once unless it stands still.
+    Without an event loop, arrivals are handled at once unless the host is paused.
     """
 
     def __init__(self, *, name: str, timeline: Timeline) -> None:
@@ -120,14 +120,14 @@
         self.loop: ModelLoop | None = None
         self.frozen_until = 0.0
         self.lost_s = 0.0
-        """How much time its steady clock has not counted, while it was suspended."""
+        """Total time of suspensions, which its monotonic clock has not counted."""
         self.is_up = True
         self.process: Any = None
         self._timeline = timeline
         self._arrived: list[Callable[[], None]] = []
 
     def take(self, call: Callable[[], None]) -> None:
-        """Act on something that has arrived, once this process runs."""
+        """Run a call for something that has arrived, as soon as this process runs."""
         if not self.is_up:
             return
         if self.loop is not None:
@@ -138,7 +138,7 @@
             call()
 
     def get_next(self) -> float:
-        """Return when this process wants to run next."""
+        """Return when this process has to run next."""
         if self.loop is None or not self.is_up:
             return float("inf")
         now = self._timeline.now
@@ -146,7 +146,7 @@
         return max(wanted, self.frozen_until, now)
 
     def turn(self) -> None:
-        """Run one turn: what has arrived goes before timers, as in any event loop."""
+        """Run one turn; arrivals are handled before timers, as in any event loop."""
         assert self.loop is not None
         arrived, self._arrived = self._arrived, []
         for call in arrived:
@@ -154,19 +154,19 @@
         self.loop.turn()
 
     def begin(self, loop: ModelLoop) -> None:
-        """Begin a life."""
+        """Start a new incarnation with its own event loop."""
         self.loop = loop
         self.is_up = True
         self.frozen_until = 0.0
         self._arrived = []
 
     def suspend(self, for_s: float) -> None:
-        """Stand still for a while that the steady clock does not count."""
+        """Pause for a time that the monotonic clock does not count."""
         until = self._timeline.now + for_s
         self.lost_s += max(0.0, until - max(self.frozen_until, self._timeline.now))
         self.frozen_until = max(self.frozen_until, until)
 
     def end(self) -> None:
-        """End without a word."""
+        """End at once, as if killed."""
         self.is_up = False
         self._arrived = []
--- a/tests/histories/draw.py
+++ b/tests/histories/draw.py
@@ -1,4 +1,4 @@
-"""Histories drawn from seeds, with faults that are likely to meet; and what of them is needed."""
+"""Histories drawn from seeds, with faults close to one another in time, and their shrinking."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 ]
 
 RUN_S = ((0.05, 0.3), (0.5, 2.0), (3.0, 6.0))
-"""Bounds on run times: the shortest tasks of the platform, and those that outlive a fault."""
+"""Ranges of run times: from short tasks to those that last longer than a fault."""
 FAULT_S = ((0.03, 0.45), (0.4, 1.0), (1.0, 2.5))
-"""Bounds on how long a fault lasts: within patience, about the chain of times, and beyond it."""
+"""Ranges of fault durations: shorter than timeouts, about the time until lost runs count as ended,
+and longer."""
 LATE_S = ((0.01, 0.1), (0.1, 0.6), (0.6, 2.0))
-"""Bounds on how late a call is carried out or answered; the platform says seconds."""
+"""Ranges of delays of calls and answers; the platform permits up to seconds."""
 NEAR_S = ((0.0, 0.01), (0.0, 0.1), (-0.2, 0.5))
-"""Bounds on how far from another moment a fault begins."""
+"""Ranges of the offset of a fault from another event."""
 STEPS_S = (0.0, 0.45, 0.9, 1.17, 1.3)
-"""Times of the product after which something follows from a fault: patience, the chain, the next
-submission."""
+"""Delays after which the system reacts to a fault: timeout, loss of runs, resubmission."""
 CALL_EFFECTS = {
     "start": tuple(CallEffect),
     "stop": (
@@ -59,38 +59,37 @@
     "hold": (CallEffect.LOST, CallEffect.DONE_LATE, CallEffect.ANSWERED_LATE),
 }
 IDLE_S = 30.0
-"""Long enough for a slow clock to go wrong by a whole lease."""
+"""Long enough for a slow clock to fall behind by the duration of a lease."""
 SLOW_RATE = 0.98
-"""How slow a worker's clock may be; from the platform."""
+"""Lowest relative speed of a worker's clock that the platform permits."""
 LONGEST_S = 6.0
 AGENTS = ("agent-0", "agent-1")
 OUTLASTING_S = 9.0
-"""Run time that outlasts every cut."""
+"""Run time that is longer than every cut."""
 STOPS_LOST_SHARE = 0.3
-"""Share of histories with cut entries in which stops get lost."""
+"""Share of the histories with cuts between entries in which stops are lost."""
 HEARD_SHARE = 0.25
-"""Share of the hang-ups there that the entry hears."""
+"""Share of the hang-ups in these histories that the entry notices."""
 SUSPENDED_SHARE = 0.5
-"""Share of the histories with a suspended host beside those that take a frozen process's place."""
+"""Share of the histories in which another host is suspended besides those of frozen processes."""
 SUSPENDED_S = (0.3, 0.6, 1.0, 1.4, 2.5)
 AWAY_S = (0.004, 0.03, 0.4, 2.5)
-"""How long a worker that begins anew is away: less than a look takes, and up to what it does on the
-platform."""
+"""Downtimes of a restarting worker: from less than the duration of a poll up to the platform's."""
 NOTICE_S = ((0.05, 0.4), (1.0, 2.5), (1.0, 2.5))
-"""Bounds on how long before its end a worker says that it leaves: less than a stop and its answers
-may take, and about what platforms give."""
+"""Ranges of the notice before a worker leaves: less than a stop and its answer may take, and about
+what platforms give."""
 STAYS_S = (0.0, 0.0, 0.03, 0.5, 4.0)
-"""How much longer than that it stays."""
+"""How long a worker stays after its notice has run out."""
 TAKEN_BACK_SHARE = 0.15
 CRASHING_SHARE = 0.4
 LONG_AT_S = 0.3
-"""When the jobs come that fill the workers of a history with preemption."""
+"""Arrival of the long jobs that fill the workers in a history with preemption."""
 SECOND_LONG_JOB = 2
-"""By number in the jobs of a history with preemption."""
+"""Index of the second long job in a history with preemption."""
 ROOMY_SHARE = 0.4
-"""Share of the histories under all decisions that leave room for moves."""
+"""Share of the load histories that leave free capacity for moves."""
 PAIR_SHARE = 0.3
-"""Share of faults of calls after which the next call goes wrong otherwise."""
+"""Share of call faults after which the next call fails in another way."""
 
 
 def play(history: History) -> Outcome:
@@ -133,7 +132,7 @@
 
 
 def draw_cut_history(seed: int) -> History:
-    """Return a history in which entries are cut off from one another, and callers leave unheard."""
+    """Return a history with cuts between entries and hang-ups that entries do not notice."""
     rng = random.Random(f"cut entries {seed}")
     entries = [f"entry-{number}" for number in range(rng.choice((2, 2, 3)))]
     jobs = tuple(
@@ -169,9 +168,9 @@
 
 
 def draw_suspended_history(seed: int) -> History:
-    """Return a drawn history in which hosts are suspended where their processes would freeze.
+    """Return a drawn history in which the freezes of processes are suspensions of their hosts.
 
-    One more host is suspended in half of them, and in all that had no frozen process.
+    One more host is suspended in some of them, and in all without a frozen process.
     """
     history = draw_history(seed) if seed % 3 else draw_cut_history(seed)
     faults: list[Fault] = [
@@ -194,9 +193,9 @@
 
 
 def draw_news_history(seed: int) -> History:
-    """Return a drawn history with suspended hosts in which workers begin anew under their ids.
+    """Return a drawn history with suspended hosts and workers that restart under their ids.
 
-    Their capacity changes, and some tasks end them.
+    Workers are also resized, and crashed by some tasks.
     """
     rng = random.Random(f"news {seed}")
     history = draw_suspended_history(seed)
@@ -226,9 +225,9 @@
 
 
 def draw_preemption_history(seed: int) -> History:
-    """Return a drawn history in which long jobs fill the workers and urgent ones preempt them.
+    """Return a drawn history in which long jobs fill the workers and urgent jobs preempt them.
 
-    Its faults are those of the other histories, moved to the stops, and some more of them.
+    Its faults are those of another drawn history, moved to the time of the stops, and some more.
     """
     rng = random.Random(f"preemption {seed}")
     drawn = (draw_history, draw_cut_history, draw_news_history)[seed % 3](seed)
@@ -266,14 +265,14 @@
 
 
 def _move(fault: Fault, rng: random.Random) -> Fault:
-    """Return a fault that strikes about when runs are stopped."""
+    """Return a copy of a fault that occurs around the time when runs are stopped."""
     return replace(fault, at_s=LONG_AT_S + rng.uniform(0.0, 1.5))
 
 
 def draw_departure_history(seed: int) -> History:
-    """Return a drawn history in which workers leave with notice, at times both of them.
+    """Return a drawn history in which one or both workers leave with notice.
 
-    The other faults are those of histories with news or without.
+    The other faults are those of :func:`draw_news_history` or :func:`draw_history`.
     """
     rng = random.Random(f"departures {seed}")
     history = draw_news_history(seed) if seed % 2 else draw_history(seed)
@@ -291,9 +290,9 @@
 
 
 def draw_load_history(seed: int) -> History:
-    """Return a drawn history with preemption in which workers leave about when runs are stopped.
+    """Return a drawn history with preemption in which workers leave around the time of the stops.
 
-    All decisions under load are asked for, and callers of jobs whose runs go on submit them again.
+    All decisions under load are enabled, and some callers resubmit jobs that are still running.
     """
     rng = random.Random(f"load {seed}")
     history = draw_preemption_history(seed)
@@ -317,7 +316,7 @@
 
 
 def shrink(history: History) -> History:
-    """Leave out of a history whatever its broken promise does not need."""
+    """Remove the parts of a history that do not contribute to the violation."""
     kind = _get_kind(play(history))
     is_smaller = True
     while is_smaller:
@@ -380,7 +379,7 @@
 
 
 def _drop_job(history: History, dropped: int) -> History:
-    """Leave out a job and what befalls its caller."""
+    """Remove a job and the hang-ups of its caller."""
     faults = []
     for fault in history.faults:
         if isinstance(fault, HangUp):
@@ -393,7 +392,7 @@
 
 
 def _get_kind(outcome: Outcome) -> str:
-    """Return what kind of promise was broken first."""
+    """Return the kind of the first violation."""
     if not outcome.broken:
         return ""
     words = ("fault", "goes on", "refused", "without", "preempted")
@@ -453,7 +452,7 @@
 
 
 def _draw_next_call_fault(rng: random.Random, first: CallFault) -> CallFault:
-    """Return a fault of the further calls of a kind, once the first one's are used up."""
+    """Return a fault of the same kind of call that applies once the first fault is used up."""
     further = _draw_call_fault(rng, first.worker, first.at_s, first.for_s)
     while further.kind != first.kind:
         further = _draw_call_fault(rng, first.worker, first.at_s, first.for_s)
@@ -461,5 +460,5 @@
 
 
 def _draw(rng: random.Random, bounds: tuple[tuple[float, float], ...]) -> float:
-    """Draw a time from one of several ranges, each as likely as the others."""
+    """Draw a time from one of several ranges, each with the same probability."""
     return round(rng.uniform(*rng.choice(bounds)), 3)
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -1,7 +1,7 @@
-"""The modelled fleet: real entries and agents on modelled hosts, and callers.
+"""The modelled fleet: real entries and agents on modelled hosts, and modelled callers.
 
-What of the product is replaced stands in :meth:`ModelFleet.patch` alone: clocks, the opening of
-WebSockets, the listener for operators, random names, and where log lines go.
+:meth:`ModelFleet.patch` has all replacements of parts of the product: clocks, the opening of
+WebSockets, the metrics listener, random names, and the output of logs.
 """
 
 from __future__ import annotations
@@ -53,17 +53,16 @@
 __all__ = ["ModelFleet"]
 
 LEAST_ENDS = 2
-"""Workers that must have ended under a task that is given up; from the platform."""
+"""Workers that must have ended while running a task before its job may fail; a platform rule."""
 MOST_CRASHES = 3
 TOO_MANY_STARTS = 3
-"""A task is not started this often after :data:`MOST_CRASHES` workers have ended under it; from the
-platform."""
+"""Starts of a task after its first :data:`MOST_CRASHES` crashes that violate a platform rule."""
 BEAT_S = 1.5
-"""Pause between a worker's reports; from the platform."""
+"""Interval of a worker's reports on the platform."""
 RESEND_S = 1.3
-"""When a caller that lost its connection, or got a 502, submits again; from the platform."""
+"""Delay after which a caller on the platform resubmits after a lost connection or a 502."""
 REFUSED_S = 0.05
-"""When a caller whose entry is down tries another one."""
+"""Delay after which a caller whose entry is down tries another one."""
 PATIENCE_S = 30.0
 BACKENDS = BackendSettings(
     store="tests.histories.backends.ModelStore",
@@ -75,14 +74,14 @@
     "dalemast.core.supervision.preemption.LOST_SHARE": 50.0,
     "dalemast.core.supervision.preemption.KEPT_SHARE": 0.0,
 }
-"""Bounds that let two workers stop run after run, once one run has ended well there."""
+"""Bounds so loose that two workers may preempt one run after another."""
 FURTHER_DECISIONS = ("shares_demand", "forecasts", "learns_speeds", "balances")
-"""The decisions under load that no history asks for by itself."""
+"""Decisions under load that :attr:`History.asks_all` enables."""
 HIDDEN_LINES = frozenset({"process:started", "configuration:in-force", "job:ended"})
 
 
 class ModelCaller:
-    """Whoever wants one job done, and submits it again as the platform's callers do."""
+    """A caller with one job, which it resubmits as the platform's callers do."""
 
     def __init__(self, *, number: int, plan: JobPlan) -> None:
         self.job_id = f"{number:016x}"
@@ -94,7 +93,7 @@
         """The submissions that were answered as refused."""
 
     def make_request(self) -> JobRequest:
-        """Return the job as it is submitted now."""
+        """Return the request for the current submission."""
         plan = self.plan
         text = TaskText(
             run_s=plan.run_s, cpu=plan.cpu, submission=self.submission, crash_s=plan.crash_s
@@ -131,18 +130,18 @@
         self._hosts: dict[str, ModelHost] = {}
         self._makers: dict[str, Callable[[], Any]] = {}
         self._accepts: dict[str, Callable[[Any], Any]] = {}
-        """Who serves the WebSockets that are opened at an address."""
+        """Factories of WebSocket listeners by address."""
         self._loops: list[ModelLoop] = []
         self._names = itertools.count(1)
         self._running = ""
         self._workers: list[ModelWorker] = []
         self._crashes: Counter[str] = Counter()
-        """By task that ends workers, how many have ended while it ran there."""
+        """Number of workers that ended while running each crashing task."""
         self._late_starts: Counter[str] = Counter()
         self._ends: Counter[str] = Counter()
-        """By task, how many workers have ended while it ran there, whoever was to blame."""
+        """Number of workers that ended while running each task, whatever the cause."""
         self._preempted: Counter[str] = Counter()
-        """By task, how often it was preempted."""
+        """Number of preemptions of each task."""
         self._callers = [
             ModelCaller(number=number, plan=plan)
             for number, plan in enumerate(history.jobs, start=1)
@@ -155,7 +154,7 @@
         }
 
     def play(self) -> Outcome:
-        """Play the history until a promise is broken or it is over."""
+        """Play the history until it is over or violates a guarantee."""
         with self.patch():
             try:
                 self._build()
@@ -167,7 +166,7 @@
 
     @contextlib.contextmanager
     def patch(self) -> Iterator[None]:
-        """Put the model in place of clocks, sockets, random names and logs."""
+        """Replace clocks, sockets, random names and logs by the model."""
         random_state = random.getstate()
         random.seed(self._history.seed)
         with contextlib.ExitStack() as stack:
@@ -191,7 +190,7 @@
                 random.setstate(random_state)
 
     def _get_steady_clock(self) -> float:
-        """Return what the steady clock of the host shows that runs now."""
+        """Return the monotonic clock of the host whose turn is running."""
         host = self._hosts.get(self._running)
         return self._timeline.now - (0.0 if host is None else host.lost_s)
 
@@ -267,7 +266,7 @@
         self._timeline.call_later(0.02 * number, lambda: self._report(worker))
 
     def _report(self, worker: ModelWorker) -> None:
-        """Let a worker report to its agent, now and from time to time."""
+        """Let a worker report to its agent now and at regular intervals."""
         if worker.host.is_up:
             self._report_once(worker)
         self._timeline.call_later(BEAT_S, lambda: self._report(worker))
@@ -279,7 +278,7 @@
         )
 
     def _begin(self, name: str) -> None:
-        """Begin a life of a process."""
+        """Start an incarnation of a process."""
         host = self._hosts[name]
         loop = ModelLoop(timeline=self._timeline)
         loop.connect = lambda address: self._network.connect(host, address)
@@ -294,7 +293,7 @@
 
         loop.create_task(run())
 
-    # What happens, in order of time.
+    # Events and faults.
 
     def _run_until(self, end: float) -> None:
         timeline = self._timeline
@@ -360,7 +359,7 @@
                 self._submit_later(caller)
 
     def _leave(self, fault: Leave) -> None:
-        """Let a worker say that it leaves, unless it is down or has said so already."""
+        """Let a worker give notice, unless it is down or has already given notice."""
         worker = next(w for w in self._workers if w.name == fault.worker)
         if not worker.host.is_up or worker.leaves_at is not None:
             return
@@ -372,10 +371,10 @@
         )
 
     def _end_leave(self, worker: ModelWorker, leaves_at: float, fault: Leave) -> None:
-        """Let a worker end, or stay after all, if it is still the life that said that it leaves."""
+        """Let a worker end, or withdraw its notice, if the notice is still valid."""
         if worker.leaves_at != leaves_at:
             return
-        self._note(worker.name, "stays" if fault.is_taken_back else "leaves")
+        self._note(worker.name, "withdraws its notice" if fault.is_taken_back else "leaves")
         if fault.is_taken_back:
             worker.leaves_at = None
             self._report_once(worker)
@@ -386,8 +385,10 @@
         return next((w.host for w in self._workers if w.name == name), None) or self._hosts[name]
 
     def _crash(self, worker: ModelWorker, task: str) -> None:
-        """Let a task end its worker, with whatever else runs there."""
-        self._note(worker.name, f"crashes under {task} and {len(worker.get_active()) - 1} others")
+        """Let a task crash its worker with all other runs on it."""
+        self._note(
+            worker.name, f"is crashed by {task}, with {len(worker.get_active()) - 1} other runs"
+        )
         self._outcome.crashes += 1
         for crashing in set(worker.get_active()) & self._crashing:
             self._crashes[crashing] += 1
@@ -451,12 +452,12 @@
             return
         host = self._hosts[caller.entry]
         if fault.is_heard and host.is_up:
-            # In a later turn than what came before it: a submission's handler has begun by then.
+            # In a later turn, since the handler of a submission that arrived before starts first.
             host.take(lambda: host.loop.call_soon(host.process.leave, caller.job_id))
         self._submit_later(caller)
 
     def _submit_later(self, caller: ModelCaller) -> None:
-        """Give the present try up and submit again, to any entry."""
+        """Abandon the current submission and resubmit to any entry."""
         caller.submission += 1
         mark = caller.submission
 
@@ -469,7 +470,7 @@
     def _draw_entry(self) -> str:
         return f"entry-{self._rng.randrange(self._history.entries)}"
 
-    # Promises.
+    # Checks of guarantees.
 
     def _check_start(self, started: StartedRun) -> None:
         self._outcome.starts += 1
@@ -488,7 +489,7 @@
             self._break(f"run {started.run} of {started.task} begins after its job was refused")
 
     def _check_crashes(self, task: str) -> None:
-        """Count a start of a task under which too many workers have ended."""
+        """Count a start of a task that has already crashed too many workers."""
         if self._crashes[task] < MOST_CRASHES:
             return
         self._late_starts[task] += 1
@@ -504,13 +505,13 @@
                 self._break(f"{caller.job_id} is answered as done without its task {position}")
 
     def _check_given_up(self, caller: ModelCaller) -> None:
-        """Check that workers have ended under a job that failed; no run fails by itself here."""
+        """Check that workers ended while running a failed job; runs never fail otherwise."""
         ends = max(
             self._ends[f"{caller.job_id}.0.0.{position}"]
             for position in range(len(caller.plan.run_s))
         )
         if ends < LEAST_ENDS:
-            self._break(f"{caller.job_id} is given up though {ends} workers ended under its tasks")
+            self._break(f"{caller.job_id} failed after only {ends} workers ended under its tasks")
 
     def _check_answers(self) -> None:
         for caller in self._callers:
@@ -521,7 +522,7 @@
         self._note("broken", what)
         self._outcome.broken.append(what)
 
-    # What was seen.
+    # Trace and logs.
 
     def _note(self, who: str, what: str) -> None:
         at_s = self._timeline.now - self._zero
@@ -541,11 +542,11 @@
             self._break(f"a fault in {self._running}: {fields}")
 
     def _note_preempted(self, job_id: str, position: int) -> None:
-        """Count a run that is told to give way, each task's under its job's first submission."""
+        """Count a preemption; a task may be preempted only once under its first submission."""
         self._outcome.preemptions += 1
         task = f"{job_id}.0.{position}"
         if any(caller.job_id == job_id and caller.submission > 1 for caller in self._callers):
-            # It may be a run of any submission.
+            # The run may belong to any of the submissions.
             return
         self._preempted[task] += 1
         if self._preempted[task] > 1:
@@ -555,7 +556,7 @@
         error = context.get("exception")
         self._break(f"a fault in {name}: {context['message']} {error!r}")
 
-    # The seams to the product.
+    # Replacements of parts of the product.
 
     def _make_name(self) -> str:
         return f"life-{next(self._names)}"
@@ -595,7 +596,9 @@
 
         def lose() -> None:
             if not opened.done():
-                opened.set_exception(ConnectionResetError("reset in its greeting"))
+                opened.set_exception(
+                    ConnectionResetError("connection reset during the WebSocket handshake")
+                )
 
         end.attach(receive=lambda item: None, lose=lose)
         end.write(serve)
@@ -616,7 +619,7 @@
 
 
 def _shift(fault: CallFault, zero: float) -> CallFault:
-    """Return a fault whose moment is on the steady clock."""
+    """Return a copy of a fault with its time on the monotonic clock."""
     return CallFault(
         worker=fault.worker,
         kind=fault.kind,
--- a/tests/histories/network.py
+++ b/tests/histories/network.py
@@ -1,7 +1,8 @@
 """Connections between hosts: ordered, and held, silenced or reset by faults.
 
-What a reset finds on its way is lost, but not what has reached the receiver's socket. A reset that
-a cut keeps back is learned of later: by the answer to the next bytes, or by the kernel's probes.
+A reset loses the data that is held by a cut, but not what has reached the receiver's socket. A host
+that a cut keeps from receiving a reset detects it later, by the answer to its next bytes or by the
+kernel's keepalive probes.
 """
 
 from __future__ import annotations
@@ -20,18 +21,18 @@
 __all__ = ["End", "Network"]
 
 LATENCY_S = (0.0002, 0.001)
-"""Bounds on the way of a packet inside a data centre."""
+"""Range of packet latencies inside a data centre."""
 RETRANSMIT_S = (0.0, 0.25)
-"""How long after a cut heals held bytes go out: the kernel's pauses have grown meanwhile."""
+"""Range of delays from the end of a cut to the retransmission of held bytes (kernel backoff)."""
 UNACKNOWLEDGED_S = 1.5
-"""Bytes that stay unacknowledged for longer end a connection; see dalemast/fleet/links."""
+"""Time after which unacknowledged bytes end a connection; see dalemast/fleet/links."""
 PROBED_S = (1.0, 3.0)
-"""Bounds on when the kernel's probes find an idle connection dead."""
+"""Range of times until the kernel's keepalive probes detect a dead idle connection."""
 SOCKET = SimpleNamespace(setsockopt=lambda *arguments: None)
 
 
 class End(asyncio.Transport):
-    """One end of a connection. Items are bytes, or calls that open what runs on it."""
+    """One end of a connection. It carries bytes, and calls that open a WebSocket on it."""
 
     peer: End
 
@@ -47,7 +48,7 @@
         self._lose: Callable[[], None] = lambda: None
 
     def attach(self, *, receive: Callable[[Any], None], lose: Callable[[], None]) -> None:
-        """Take who hears of what arrives, and of the end."""
+        """Set the callbacks for received items and for the end of the connection."""
         self._receive, self._lose = receive, lose
 
     def write(self, data: Any) -> None:
@@ -62,7 +63,7 @@
             self.network.reset(self)
 
     def close(self) -> None:
-        """Close once what was sent is on its way."""
+        """Close after all sent bytes."""
         if not self.is_closed:
             self.network.carry(self, None)
             self._end_here()
@@ -76,7 +77,7 @@
         return SOCKET
 
     def take(self, item: Any) -> None:
-        """Act on what arrived; nothing is an end. Called in the host's turn."""
+        """Handle an item in the host's turn; None is the end of the connection."""
         if self.is_closed:
             return
         if item is None:
@@ -87,7 +88,7 @@
             self._receive(item)
 
     def break_off(self) -> None:
-        """End since the other side, or the kernel, says so."""
+        """End the connection after the other side or the kernel has ended it."""
         if not self.is_closed:
             self.is_closed = True
             self._lose()
@@ -99,7 +100,7 @@
 
 
 class Network:
-    """All connections, and who listens where."""
+    """All connections and listeners."""
 
     def __init__(self, *, timeline: Timeline, rng: random.Random) -> None:
         self._timeline = timeline
@@ -111,11 +112,11 @@
     def listen(
         self, address: str, host: ModelHost, accept: Callable[[End], None] | None = None
     ) -> None:
-        """Take connections at an address; ``accept`` gets each one's end at this host."""
+        """Accept connections at an address; ``accept`` receives the local end of each."""
         self._listeners[address] = (host, accept or (lambda end: None))
 
     async def connect(self, host: ModelHost, address: str) -> End:
-        """Open a connection, as far as the kernels do it; never returns while cut."""
+        """Open a connection at kernel level; never returns if a cut drops the handshake."""
         loop = asyncio.get_running_loop()
         opened: asyncio.Future[End] = loop.create_future()
         listener = self._listeners.get(address)
@@ -139,7 +140,7 @@
         return await opened
 
     def carry(self, end: End, item: Any) -> None:
-        """Send something to the other end, in order; a cut holds it."""
+        """Send an item to the other end in order; a cut holds it back."""
         if end.held or end.is_silent or not self._is_open(end.host.name, end.peer.host.name):
             entry = (self._timeline.now, item)
             end.held.append(entry)
@@ -148,7 +149,7 @@
         self._send(end, item, self._timeline.now)
 
     def reset(self, end: End) -> None:
-        """Tell the other end of a reset; what is still held is lost."""
+        """Send a reset to the other end; items that are still held are lost."""
         end.held.clear()
         if not end.is_silent and self._is_open(end.host.name, end.peer.host.name):
             self._send(end, None, self._timeline.now)
@@ -157,12 +158,12 @@
             self._timeline.call_later(delay_s, lambda: self._probe(end.peer))
 
     def cut(self, sender: str, receiver: str, *, until: float) -> None:
-        """Let nothing through from one host to another until a moment."""
+        """Hold back everything from one host to another until a time."""
         self._cuts[sender, receiver] = max(until, self._cuts.get((sender, receiver), 0.0))
         self._timeline.call_at(until, lambda: self._heal(sender, receiver))
 
     def silence(self, first: str, second: str) -> None:
-        """Let the connections between two hosts fall silent for good."""
+        """Stop the open connections between two hosts from passing data, permanently."""
         for end in self._ends:
             if {end.host.name, end.peer.host.name} == {first, second} and not end.is_closed:
                 end.is_silent = True
@@ -175,7 +176,7 @@
                 end.host.take(end.break_off)
 
     def end_host(self, host: ModelHost) -> None:
-        """Reset what a process had open as it ended."""
+        """Reset the open connections of a process that has ended."""
         for end in self._ends:
             if end.host is host and not end.is_closed:
                 end.is_closed = True
@@ -197,7 +198,7 @@
         if not peer.is_closed:
             peer.host.take(lambda: peer.take(item))
         elif item is not None and not end.is_closed:
-            # The other kernel knows of no such connection any more.
+            # The peer's kernel answers data on an unknown connection with a reset.
             self._send(peer, None, self._timeline.now)
 
     def _heal(self, sender: str, receiver: str) -> None:
@@ -236,7 +237,7 @@
 
 
 class ModelWebSocket:
-    """A WebSocket on one end of a connection, as far as links use it."""
+    """The part of a WebSocket that links use, on one end of a connection."""
 
     def __init__(self, *, end: End, listener: Any) -> None:
         self.underlying_transport = end
@@ -248,7 +249,7 @@
         self.underlying_transport.write(data)
 
     def disconnect(self, graceful: bool = True) -> None:
-        """Close it."""
+        """Close the connection."""
         self.underlying_transport.close()
 
     def _receive(self, data: bytes) -> None:
@@ -259,10 +260,10 @@
 
 
 def open_socket(end: End, listener: Any) -> None:
-    """Let a WebSocket begin on one end of a connection."""
+    """Open a WebSocket on one end of a connection."""
     listener.on_ws_connected(ModelWebSocket(end=end, listener=listener))
 
 
 def _fail(opened: asyncio.Future[End]) -> None:
     if not opened.done():
-        opened.set_exception(ConnectionRefusedError("nothing listens there"))
+        opened.set_exception(ConnectionRefusedError("no listener at this address"))
--- a/tests/histories/test_crashing_tasks.py
+++ b/tests/histories/test_crashing_tasks.py
@@ -1,15 +1,5 @@
-"""Tasks that end the worker they are started on, again and again.
-
-Two jobs took a service of eleven workers from all its callers for seven seconds. The agents' lines
-had one worker gone every 35 ms, at 8.511, 8.545, 8.580, 8.615, 8.650 s and so on, each with up to
-17 runs of other jobs, and workers that had just come back gone 22 ms later: one task, started
-anew wherever there was room, run after run (5 to 15 within 1.5 s). Agents told its owner that a run
-had been stopped, and only one that had failed counted as an attempt, so nothing ended the series
-but the caller's patience.
-
-A start is a start whoever makes it: the count has to outlast the owner, its links and the caller's
-next submission. And the jobs beside it are to be answered as if it were not there.
-"""
+"""Tasks that crash each worker they run on: the number of such starts must stay bounded, also when
+the owner, its links or the caller's connection are lost, and other jobs must be served as usual."""
 
 from __future__ import annotations
 
@@ -23,17 +13,17 @@
 WORKERS = 9
 AT_ONCE_S = 0.01
 LATER_S = 0.25
-"""How long after its start a task ends its worker."""
+"""Times from the start of a task to the crash of its worker."""
 SOUND_JOBS = 12
 SOUND_S = 0.4
 CRASHING = JobPlan(at_s=0.0, run_s=(1.0,), crash_s=(AT_ONCE_S,))
 LASTS_S = 12.0
 LEAST_SHARE = 0.95
-"""What of the sound jobs is answered well, where all of them are without the crashing one."""
+"""Minimum share of the sound jobs that succeed."""
 
 
 def make_sound_jobs(entries: int) -> tuple[JobPlan, ...]:
-    """Return jobs of four tasks that arrive while the crashing one is open."""
+    """Return jobs of four tasks that arrive while the crashing job is open."""
     return tuple(
         JobPlan(at_s=0.05 * number, run_s=(SOUND_S,) * 4, entry=number % entries)
         for number in range(SOUND_JOBS)
@@ -78,12 +68,12 @@
 
 
 def _set_crash_s(job: JobPlan, crash_s: float) -> JobPlan:
-    """Return a job whose tasks that end their workers do it after this time."""
+    """Return a copy of a job whose crashing tasks crash after ``crash_s``."""
     return replace(job, crash_s=tuple(at if at is None else crash_s for at in job.crash_s))
 
 
 class CalmTests(CrashTestCase):
-    """Nothing else goes wrong: sound jobs are served as without it, within 0.05."""
+    """Without other faults, sound jobs must succeed beside crashing tasks."""
 
     def test_a_job_of_one_task(self) -> None:
         self.assertGreaterEqual(self.play_all(entries=1), LEAST_SHARE)
@@ -96,7 +86,7 @@
         self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
 
     def test_all_tasks_of_a_job(self) -> None:
-        """They begin together, so that all their first workers end: no more follow at once."""
+        """All tasks crash their first workers together; no burst of restarts must follow."""
         job = JobPlan(at_s=0.0, run_s=(1.0,) * 4, crash_s=(AT_ONCE_S,) * 4)
         self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
 
@@ -106,7 +96,7 @@
 
 
 class SubmittedAgainTests(CrashTestCase):
-    """The caller asks again, for as long as it has no answer."""
+    """A caller that resubmits the job must not reset the number of its crashes."""
 
     def test_unheard(self) -> None:
         self.play_all(HangUp(job=0, at_s=0.04, is_heard=False))
@@ -119,7 +109,7 @@
 
 
 class LostOwnerTests(CrashTestCase):
-    """What knows of the crashes is lost, or out of reach, while the job is asked for again."""
+    """The number of crashes must survive processes that know it being killed or unreachable."""
 
     def test_the_owner_is_killed(self) -> None:
         self.play_all(Kill(process="entry-0", at_s=0.06, for_s=1.0))
--- a/tests/histories/test_cut_entries.py
+++ b/tests/histories/test_cut_entries.py
@@ -1,15 +1,5 @@
-"""Entries that can't reach each other, while a caller that left one of them unheard asks another.
-
-A job runs for 9 s. Its caller loses the connection 0.3 s after the start, which its entry does not
-hear, and submits the job again 1.3 s later, to any entry. Meanwhile the entries are cut off from
-one another for 6 s. An entry that had lost all others granted itself each id: mostly they are down,
-and one that refused all ids would serve nobody. So both ran the job. In 24 plays of each order on
-that code a task ran twice in 8 to 15, and the log of the second entry had `peer:lost` of the first
-one before it ran the job, while each agent still had its link with the first one.
-
-What tells the two cases apart is known to the agents, which both entries dial: they hear an entry
-that lives, and they have lost one that is gone.
-"""
+"""Entries that cannot reach each other must not both grant the id of a job that a caller submits
+to one after the other: its task would run twice. Agents that reach both entries prevent it."""
 
 from __future__ import annotations
 
@@ -32,12 +22,12 @@
 CUT_AT_S = 0.1
 CUT_S = 6.0
 PLAYS = 24
-"""Enough that each of these orders came about in some, on the code without their mend in half."""
+"""Seeds per order of events, enough for packet delays to produce each order."""
 UNHEARD = HangUp(job=0, at_s=0.3, is_heard=False)
 
 
 def cut(sender: str, receiver: str, *, is_both_ways: bool = True) -> Cut:
-    """Return a cut between two hosts that begins soon after the job does."""
+    """Return a cut between two hosts that begins shortly after the job starts."""
     return Cut(
         sender=sender, receiver=receiver, at_s=CUT_AT_S, for_s=CUT_S, is_both_ways=is_both_ways
     )
@@ -50,7 +40,7 @@
 
 
 class CommonAgentsTests(CutEntriesTestCase):
-    """Some agent hears both."""
+    """At least one agent can reach both entries."""
 
     def test_two_entries_are_cut_off_from_each_other(self) -> None:
         self.check_cut(cut("entry-0", "entry-1"))
@@ -90,7 +80,7 @@
 
 
 class SplitTests(CutEntriesTestCase):
-    """No process hears both."""
+    """No process can reach both entries."""
 
     def test_each_agent_hears_only_one_of_the_entries(self) -> None:
         self.check_cut(
@@ -102,7 +92,7 @@
         self.check_drawn(3742)
 
     def test_a_drawn_split_into_which_a_job_is_moved(self) -> None:
-        """Seed 10398: the first entry's run was lost and began anew in its own half."""
+        """Seed 10398: the first entry lost its run and restarted it in its own partition."""
         self.check_drawn(10398)
 
     def check_drawn(self, seed: int) -> None:
@@ -113,16 +103,11 @@
 
 
 class CutOffTests(CutEntriesTestCase):
-    """An entry reaches nobody for some seconds, and then agents before the other entry.
-
-    What it had open had lapsed and was granted elsewhere by then, and it started it once more as
-    soon as the first agent was back. In 24 plays of each of these orders a task ran twice in 11 to
-    17; the trace has a start of the first entry some milliseconds after its `agent:link`, while the
-    run of the other entry went on.
-    """
+    """An isolated entry that reaches agents before the other entry must not start its jobs again:
+    its claims have expired, and the other entry may run them."""
 
     HEALS_S = (1.2, 1.6, 2.0, 2.5, 3.0, 4.0)
-    """How long the ways to agents are cut; the shortest is about what claims last."""
+    """How long the connections to agents are cut; the shortest is about the lifetime of a claim."""
 
     def check_cut_off(self, hang_up: HangUp, *jobs: JobPlan, peers_s: float = CUT_S) -> None:
         for heal_s in self.HEALS_S:
@@ -147,13 +132,8 @@
 
 
 class LeftRunsTests(CutEntriesTestCase):
-    """Runs of an entry that agents have lost go on for a moment, or longer if stops get lost.
-
-    A second entry that has never met the first one began just then. No agent heard the first one
-    any more, so the second granted itself the id, and the job began anew before the lease of its
-    first run was over. In 12 plays of each order a task ran twice in 3 to 7 where stops were lost,
-    and the trace has `entry:lost` of the agent, with one run, before the second start.
-    """
+    """An entry that starts after agents have lost another one must not grant itself the ids of that
+    entry's jobs before the leases of their runs have expired."""
 
     def test_an_entry_begins_as_agents_lose_the_one_that_it_never_met(self) -> None:
         stops = fail_calls("stop", CallEffect.LOST, for_s=3.0)
@@ -179,7 +159,7 @@
 
 
 class AloneTests(CutEntriesTestCase):
-    """What must not be refused: an entry that is alone since the others are down."""
+    """An entry whose peers are all down must still accept jobs."""
 
     def test_an_entry_whose_only_peer_is_dead_starts_all_jobs(self) -> None:
         jobs = tuple(JobPlan(at_s=0.2 * number, run_s=(0.1,)) for number in range(12))
--- a/tests/histories/test_departures.py
+++ b/tests/histories/test_departures.py
@@ -1,4 +1,5 @@
-"""Workers that leave with notice, and whose runs are moved off them, beside all other faults."""
+"""Workers that leave with notice and whose runs are moved, beside other faults: no task may run
+twice at the same time."""
 
 from __future__ import annotations
 
@@ -10,7 +11,7 @@
 
 DRAWN = 120
 LEAST_MOVES = 20
-"""Runs that are moved in the drawn histories at least."""
+"""Minimum number of runs moved in all drawn histories."""
 LEAVE_AT_S = 0.3
 MOVED = "run:moved cause=leaving"
 JOB = JobPlan(at_s=0.0, run_s=(4.0, 4.0))
@@ -31,7 +32,7 @@
 
 class DepartureTests(unittest.TestCase):
     def check(self, history: History) -> str:
-        """Check that no promise is broken; return what happened."""
+        """Check that no guarantee is violated and return the trace."""
         outcome = play(history)
         trace = "\n".join(outcome.trace)
         self.assertEqual([], outcome.broken, trace)
@@ -46,7 +47,7 @@
         self.assertEqual({}, outcome.states)
 
     def test_an_owner_killed_between_the_stop_and_the_second_start(self) -> None:
-        """Its caller submits the job elsewhere while runs of it are stopped or just begun."""
+        """The caller resubmits the job while its runs are being stopped or started."""
         moved = 0
         for step in range(0, 100, 4):
             kill = Kill(process="entry-0", at_s=LEAVE_AT_S + step / 1000, for_s=1.0)
--- a/tests/histories/test_histories.py
+++ b/tests/histories/test_histories.py
@@ -1,4 +1,7 @@
-"""Histories of fixed seeds; ``python -m tests.histories`` plays others, and many more."""
+"""Drawn histories of fixed seeds must violate no guarantee.
+
+``python -m tests.histories`` plays any other seeds.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +15,22 @@
 from tests.histories.draw import draw_cut_history, draw_history, play
 
 HISTORIES = 250
-"""Played in about 13 s."""
 LEAST_STARTS = 1000
-"""Runs that begin in these histories at least: a model in which little happens finds nothing."""
+"""Minimum number of started runs, so that a model in which nothing happens does not pass."""
 LEAST_DONE = 150
-"""Jobs that are done in these histories at least."""
+"""Minimum number of completed jobs."""
 CUT_HISTORIES = 120
-"""Histories with cut entries, played in about 11 s."""
+"""Number of histories with network cuts between entries."""
 LEAST_CUT_STARTS = 350
 LEAST_CUT_DONE = 50
-"""The same bounds for these."""
+"""The same minimums for the histories with network cuts."""
 
 
 class HistoriesTests(unittest.TestCase):
     def check(
         self, draw: Callable[[int], History], count: int, *, least_starts: int, least_done: int
     ) -> None:
-        """Check that no history breaks a promise, and that enough happens in them."""
+        """Check that no history violates a guarantee and that enough jobs run."""
         starts = 0
         answers: Counter[str] = Counter()
         broken = []
@@ -46,7 +48,7 @@
         self.check(draw_history, HISTORIES, least_starts=LEAST_STARTS, least_done=LEAST_DONE)
 
     def test_no_promise_is_broken_while_entries_are_cut_off(self) -> None:
-        """On the code that granted ids by silence 119 of the first 1,000 broke one."""
+        """Entries must not grant ids only because other entries are unresponsive."""
         self.check(
             draw_cut_history,
             CUT_HISTORIES,
@@ -63,7 +65,7 @@
             self.assertIn("goes on", play(history).broken[0])
 
     def test_a_seed_gives_the_same_history_each_time(self) -> None:
-        """With two entries it need not: entries keep their links with others in sets."""
+        """Only with one entry: with more, the iteration order of their sets of links may differ."""
         histories = [draw_history(seed) for seed in range(20)]
         for history in histories:
             if history.entries == 1:
--- a/tests/histories/test_load.py
+++ b/tests/histories/test_load.py
@@ -1,4 +1,5 @@
-"""All decisions under load together: runs are preempted and moved in the same history."""
+"""All decisions under load together, preemptions and moves in the same history, must violate no
+guarantee."""
 
 from __future__ import annotations
 
@@ -8,7 +9,7 @@
 
 DRAWN = 40
 LEAST_PREEMPTIONS, LEAST_MOVES, LEAST_DONE = 30, 3, 80
-"""Runs that give way, runs that are moved, and jobs that are done in them at least."""
+"""Minimum numbers of preempted runs, moved runs and completed jobs in all drawn histories."""
 
 
 class DrawnTests(unittest.TestCase):
--- a/tests/histories/test_news.py
+++ b/tests/histories/test_news.py
@@ -1,10 +1,5 @@
-"""Workers that begin anew under their ids, whose room changes and that tasks end, beside all else.
-
-In 14 of 800 drawn histories a job was answered as failed though no worker had ended under its
-tasks: `start:not-running ... outcome=rejected` up to ten times within 20 ms, each on a worker that
-had ended before, and then `task:given-up ... ages_s=[0.002, 0.003]`. A start that was on its way to
-a worker as that one was found gone counted as having run there.
-"""
+"""Workers that restart under their ids, are resized or crashed by tasks: a start sent to a worker
+that had already ended must not count as a failed attempt of its task."""
 
 from __future__ import annotations
 
@@ -13,10 +8,10 @@
 from tests.histories.draw import draw_news_history, play
 
 LATE_SEEDS = (10094, 10504, 11695)
-"""Likewise: the agent had stood still as its start was answered, and took its run to have begun as
-it read the answer: `start:late ... took_s=1.404`, then an age of 0.021 s; or its runs had lapsed
-by the time it found its worker gone."""
+"""Regressions: an agent paused while its start was answered must not date the run from when it read
+the answer, nor count runs whose leases expired before it found its worker gone."""
 BROKEN_SEEDS = (32, 79, 188, 257, 293, 323, 335, 503, 519, 548, 563, 580, 696, 733)
+"""Regressions: a task failed permanently although no worker had ended while running it."""
 DRAWN = 120
 
 
--- a/tests/histories/test_orders.py
+++ b/tests/histories/test_orders.py
@@ -1,7 +1,6 @@
-"""Orders of events in which a run could outlive what its owner believes, each played many times.
+"""Orders of events in which a run could go on after its owner considers it ended.
 
-Small times differ from one play to the next: the ways of packets, how long a stop takes. What is
-named here has to hold for all of them.
+Each is played with several seeds, which vary packet delays and the durations of stops.
 """
 
 from __future__ import annotations
@@ -24,18 +23,18 @@
 from tests.histories.draw import IDLE_S, SLOW_RATE, play
 
 PLAYS = 5
-"""Enough that each of these orders came about in some play, and a tenth of a second or two."""
+"""Seeds per order of events, enough for packet delays to produce each order."""
 LONG_S = 6.0
 AT_ONCE_S = 0.0015
-"""When starts have been sent, and have reached agents in about half of the plays."""
+"""Starts have been sent by then; whether they have reached the agents depends on the seed."""
 SHORT_RUNS_S = tuple(round(0.5 + 0.07 * number, 2) for number in range(30))
 WITH_SHORT_RUNS = (
     JobPlan(at_s=0.0, run_s=(LONG_S,)),
     JobPlan(at_s=0.01, run_s=SHORT_RUNS_S, cpu=40, entry=1),
     JobPlan(at_s=0.02, run_s=SHORT_RUNS_S, cpu=40, entry=1),
 )
-"""A long run with short ones beside it on either worker. Their ends answer looks at once, so that
-its progress is seen every few hundredths of a second."""
+"""A long run with short ones beside it on each worker. The end of a short run completes a poll at
+once, so that the agent also sees the progress of the long run frequently."""
 SLOW_CLOCKS = (SLOW_RATE, SLOW_RATE)
 
 
@@ -49,7 +48,7 @@
         plays: int = PLAYS,
         **fields: object,
     ) -> None:
-        """Check that no play breaks a promise, and that tasks do start."""
+        """Check that no play violates a guarantee and that tasks are started."""
         jobs = (JobPlan(at_s=0.0, run_s=runs),)
         drawn = History(seed=0, jobs=jobs, faults=faults)
         starts = 0
@@ -70,7 +69,7 @@
     delay_s: float = 0.0,
     most: int = 1000,
 ) -> tuple[CallFault, ...]:
-    """Return a fault of the calls to both workers, since either may be given the task."""
+    """Return one fault per worker, since the task may be placed on either."""
     return tuple(
         CallFault(
             worker=worker,
@@ -86,7 +85,7 @@
 
 
 class StopTests(OrdersTestCase):
-    """A stop is no bound: it may get lost, or be carried out seconds later."""
+    """A sent stop must not count as the end of a run: it may be lost or executed seconds later."""
 
     def test_a_lost_stop_of_a_run_that_makes_progress(self) -> None:
         stop = fail_calls("stop", CallEffect.LOST, most=1)
@@ -107,7 +106,7 @@
         self.check(HangUp(job=0, at_s=0.5), *stop)
 
     def test_stops_that_are_all_lost_beside_runs_that_go_on(self) -> None:
-        """The lease is the worker's, so that what else runs there must not keep the run alive."""
+        """A lease covers the whole worker; renewals for other runs must not prolong this one."""
         stop = fail_calls("stop", CallEffect.LOST, for_s=4.0)
         self.check(HangUp(job=0, at_s=0.5), *stop, jobs=WITH_SHORT_RUNS)
 
@@ -117,7 +116,7 @@
         self.check(kill, *stop, runs=(LONG_S, LONG_S))
 
     def test_all_stops_are_lost_of_runs_that_an_agent_finds_as_it_begins(self) -> None:
-        """Its looks must not keep them alive: their owner believes that they lapse."""
+        """Its polls must not renew the leases of runs that their owner expects to expire."""
         stop = fail_calls("stop", CallEffect.LOST, for_s=4.0)
         for agent in ("agent-0", "agent-1"):
             kill = Kill(process=agent, at_s=0.3, for_s=0.1)
@@ -125,7 +124,7 @@
 
 
 class StandstillTests(OrdersTestCase):
-    """A process stands still between two steps of an order."""
+    """A process that is paused between two steps must not let a task run twice."""
 
     def check_standstill(self, at_s: float, for_s: float, *faults: Fault, **more: object) -> None:
         """Check with each of the two agents, since either may be given the tasks."""
@@ -161,14 +160,14 @@
                 self.check(freeze, HangUp(job=0, at_s=0.01), entries=2)
 
     def test_a_submission_waits_at_an_entry_that_stands_still(self) -> None:
-        """Its caller gives up and submits it again, mostly to the other entry."""
+        """The caller times out and resubmits the job, usually to the other entry."""
         freeze = Freeze(process="entry-0", at_s=-0.01, for_s=2.0)
         for is_heard in (True, False):
             hang_up = HangUp(job=0, at_s=0.3, is_heard=is_heard)
             self.check(freeze, hang_up, entries=2, plays=5 * PLAYS)
 
     def test_a_job_goes_to_an_entry_that_stands_still_while_it_runs(self) -> None:
-        """As it goes on, this entry has just lost the one that could say who runs the job."""
+        """When it resumes, it has just lost the entry that knows the owner of the job."""
         jobs = (JobPlan(at_s=0.0, run_s=(LONG_S,), entry=1),)
         hang_up = HangUp(job=0, at_s=0.01, is_heard=False)
         for for_s in (0.85, 0.81):
@@ -176,7 +175,7 @@
             self.check(freeze, hang_up, jobs=jobs, entries=2, plays=3 * PLAYS)
 
     def test_news_of_room_waits_at_an_entry_that_stands_still(self) -> None:
-        """Tasks of its job wait for room that another entry's job frees meanwhile."""
+        """Tasks of its job wait for capacity that the job of another entry releases meanwhile."""
         jobs = (
             JobPlan(at_s=0.1, run_s=(LONG_S,) * 8),
             JobPlan(at_s=0.0, run_s=(0.8,) * 4, entry=1),
@@ -187,7 +186,7 @@
             self.check(freeze, hang_up, jobs=jobs, entries=2)
 
     def test_an_id_is_yielded_while_starts_are_unanswered(self) -> None:
-        """The entry that is asked for it has tasks that were placed just then."""
+        """The entry that is asked to release the id has just placed tasks of its job."""
         start = fail_calls("start", CallEffect.DONE_LATE, at_s=0.9, for_s=0.45, delay_s=0.5)
         stop = fail_calls("stop", CallEffect.LOST, at_s=1.2, for_s=0.6)
         hang_up = HangUp(job=0, at_s=0.02, is_heard=False)
@@ -200,7 +199,7 @@
 
 
 class TriesTests(OrdersTestCase):
-    """A start is tried again, and the tries are answered differently."""
+    """A start is retried, and the attempts have different outcomes."""
 
     def check_tries(self, first: CallEffect, second: CallEffect, *, delay_s: float) -> None:
         tries = (
@@ -227,7 +226,8 @@
 
 
 class ClockTests(OrdersTestCase):
-    """A lease ends by the worker's clock, which an agent knows from the last answer only."""
+    """Leases end by the worker's clock, which may be slower than the agent assumes since the last
+    response."""
 
     def test_a_worker_falls_silent_after_a_start_with_a_clock_that_has_gone_slow(self) -> None:
         holds = fail_calls("hold", CallEffect.LOST, at_s=0.01, for_s=2.0)
@@ -258,11 +258,11 @@
 
 
 class LinkTests(OrdersTestCase):
-    """A message is held on its way, and acted on when its time is over."""
+    """Messages that are delayed on their way must not be applied after they have expired."""
 
     def test_news_of_two_lives_of_a_worker_arrive_together(self) -> None:
-        """The start that follows the first is taken as one for the second. Its owner counts it as
-        lost with the first, and another job's run there keeps the owner's words coming."""
+        """A start meant for the first incarnation must not run on the second: its owner considers
+        it lost, while another run there keeps the lease renewed."""
         jobs = (JobPlan(at_s=0.0, run_s=(LONG_S,)), JobPlan(at_s=1.5, run_s=(LONG_S,)))
         crashes = (
             Kill(process="worker-0", at_s=0.3, for_s=0.3),
@@ -300,12 +300,8 @@
             self.check(drop, HangUp(job=0, at_s=0.5), runs=(LONG_S,) * 4, cpu=2000)
 
     def test_entries_lose_each_other_while_agents_hear_both(self) -> None:
-        """A caller whose connection ended unheard goes to the other entry.
-
-        That entry took the first one's silence for its end and granted itself the id. The trace has
-        `peer:lost` at 0.55 s, the second submission at 1.6 s and its start at once, with the first
-        run going on at an agent that still heard its owner: tests/histories/test_cut_entries.py.
-        """
+        """The second entry must not grant itself the id because the first one is unresponsive;
+        tests/histories/test_cut_entries.py has more of these cases."""
         cut = Cut(sender="entry-0", receiver="entry-1", at_s=0.1, for_s=5.0)
         hang_up = HangUp(job=0, at_s=0.3, is_heard=False)
         self.check(cut, hang_up, entries=2, plays=3 * PLAYS)
@@ -317,10 +313,10 @@
 
 
 class StrayTests(OrdersTestCase):
-    """An agent finds a run that it does not know while others go on."""
+    """An agent that finds an orphaned run must leave the other runs of its worker alone."""
 
     def test_what_else_runs_is_not_begun_anew(self) -> None:
-        """Of the short job one try is carried out late, after it was done elsewhere."""
+        """One start of the short job is executed late, after the job has completed elsewhere."""
         late = CallFault(
             worker="worker-1",
             kind="start",
--- a/tests/histories/test_preemption.py
+++ b/tests/histories/test_preemption.py
@@ -1,8 +1,5 @@
-"""Long tasks fill all workers, and urgent jobs take room from them, beside faults.
-
-A preempted task may begin again only once its run has surely ended, whoever fails between its stop
-and its second start.
-"""
+"""A preempted task may start again only once its first run has ended, whichever process fails
+between the stop and the second start."""
 
 from __future__ import annotations
 
@@ -24,22 +21,24 @@
 
 LONG_JOB, URGENT_JOB = 1, 2
 DRAWN = 60
-"""Played in about 12 s."""
 LEAST_PREEMPTIONS = 100
 LEAST_DONE = 200
 URGENT_AT_S = 1.0
 ASKED_S = 0.12
-"""When an urgent job asks for room to be made: a fifth of its slack after its arrival, and a turn.
-"""
+"""Time from the arrival of an urgent job to its request for capacity: a fifth of its slack and one
+turn of the event loop."""
 STOPPING_AT_S = URGENT_AT_S + ASKED_S + 0.08
-"""In the time between the stop and the second start, while stops are carried out late."""
+"""Between the stop and the second start, while stops are executed late."""
 
 
 class FailureTests(unittest.TestCase):
-    """One failure while a run is being stopped for an urgent job."""
+    """One failure while a run is being preempted must not let its task run twice."""
 
     def play(self, *faults: Fault, entries: int = 1) -> Outcome:
-        """Play a short job that earns the stops, long ones that fill the workers, an urgent one."""
+        """Play a short job, long jobs that fill the workers, and an urgent job that preempts them.
+
+        The short job completes work first, which preemption requires before it may stop runs.
+        """
         late_stops = tuple(
             CallFault(
                 worker=f"worker-{number}",
@@ -68,7 +67,7 @@
         self.assertEqual([], outcome.broken, trace)
         self.assertGreaterEqual(outcome.preemptions, 1, trace)
         self.assertEqual("succeeded", outcome.states[LONG_JOB], trace)
-        # It may be turned away as not run where all agents or workers are out of reach.
+        # It may be rejected before it runs if all agents or workers are unreachable.
         self.assertIn(outcome.states[URGENT_JOB], ("succeeded", "refused"), trace)
         return outcome
 
--- a/tests/histories/test_reborn_workers.py
+++ b/tests/histories/test_reborn_workers.py
@@ -1,11 +1,5 @@
-"""Workers that begin anew under the id that they had, told apart by when they were born.
-
-A call names its worker by the id alone, so the next life under it carries out what was meant for
-the one before. Its numbers of ends begin at 1 again, and ends that the agent had seen of the life
-before were taken as seen of this one; its clock begins anew, so that a lease of the life before
-reaches far ahead; and a list that it gives was read as that of the life before, whose runs were
-believed to be over, or to go on.
-"""
+"""Workers that restart under the same id: calls, ends of runs, leases and lists of runs of an
+earlier incarnation must not be applied to a later one."""
 
 from __future__ import annotations
 
@@ -17,7 +11,7 @@
 
 PLAYS = 6
 QUICK_S = (0.004, 0.03, 0.4)
-"""How long a worker is away: less than a look takes, than two refused ones do, than a beat."""
+"""Downtimes of a worker: shorter than a poll, two refused polls, and its report interval."""
 LONG_S = 3.0
 SHORT_S = 0.3
 LASTS_S = 9.0
@@ -26,16 +20,15 @@
     JobPlan(at_s=0.0, run_s=(LONG_S, LONG_S, SHORT_S)),
     *(JobPlan(at_s=0.1 * number, run_s=(SHORT_S,), entry=number % 2) for number in range(1, 25)),
 )
-"""Short jobs make ends that are taken note of, and starts at any moment."""
+"""The short jobs keep starts and ends of runs coming throughout the history."""
 
 
 class RebornTests(unittest.TestCase):
     def check(self, *faults: Fault, is_scarce: bool = False) -> None:
-        """Check that no promise is broken and that every job succeeds.
+        """Check that no guarantee is violated and that every job succeeds.
 
-        Where all workers are gone again and again, a job that has not run may be refused for lack
-        of room, and one given up under which two workers have ended; the model checks that they
-        have.
+        With ``is_scarce``, all workers are down repeatedly: a job may then be refused for lack of
+        capacity, or fail once two workers have ended while running it, as the model checks.
         """
         jobs = JOBS
         for away_s in QUICK_S:
@@ -102,7 +95,7 @@
 
 
 def _set_time_away(fault: Fault, away_s: float) -> Fault:
-    """Return a fault; a worker's end lasts this long."""
+    """Return the fault, with the downtime replaced if it kills a worker."""
     if isinstance(fault, Kill) and fault.process in WORKERS:
         return replace(fault, for_s=away_s)
     return fault
--- a/tests/histories/test_suspended_hosts.py
+++ b/tests/histories/test_suspended_hosts.py
@@ -1,10 +1,5 @@
-"""Hosts that are suspended for seconds: the steady clock does not count the time.
-
-An entry that stood still finds out by the time between two of its ticks, and gives up what others
-may have been granted meanwhile. Its steady clock told it that nothing had happened: it went on
-where it had stopped, with claims that had lapsed, with runs that its agents had ended, and with
-tasks that another entry had started for the caller's next submission.
-"""
+"""An entry whose host was suspended must not continue with expired claims and runs: the monotonic
+clock does not count the suspension, so pauses between ticks do not show it."""
 
 from __future__ import annotations
 
@@ -15,14 +10,13 @@
 from tests.histories.test_orders import AT_ONCE_S, LONG_S, OrdersTestCase
 
 BROKEN_SEEDS = (555, 675, 945, 1137, 1883, 3336)
-"""Drawn histories in which a task ran twice, of 4,000. With frozen processes in place of suspended
-hosts none of them does."""
+"""Regressions: a task ran twice, because the monotonic clock had not counted a suspension."""
 DRAWN = 120
 FOR_S = (0.3, 0.8, 1.5, 3.0)
-"""Within an agent's patience, within the chain of times, beyond it, and beyond the next submission
-of the job."""
+"""Shorter than an agent's timeout, shorter than the time until lost runs count as ended, longer
+than that time, and longer than the time until the caller resubmits the job."""
 WAITING = (JobPlan(at_s=0.0, run_s=(0.9,) * 8), JobPlan(at_s=0.01, run_s=(LONG_S,)))
-"""The second one waits for room as its entry stands still."""
+"""The second job waits for capacity while its entry is suspended."""
 
 
 class SuspendedEntryTests(OrdersTestCase):
--- a/tests/histories/worker.py
+++ b/tests/histories/worker.py
@@ -1,6 +1,6 @@
-"""A worker as the platform's pages describe it: calls may get lost, be done late, be answered late.
+"""A model of the platform's workers, whose calls may be lost, executed late or answered late.
 
-Its clock counts from elsewhere than its agent's, and may be slow.
+The clock of a worker has another origin than its agent's, and may be slow.
 """
 
 from __future__ import annotations
@@ -27,21 +27,21 @@
 SERVICE = "floor"
 DATA_CENTRE = "austin"
 STOP_S = 0.05
-"""The longest time that a stop takes; from the platform."""
+"""Maximum duration of a stop on the platform."""
 SHRUNK_S = 4.5
-"""When room that has shrunk counts: 3 s and a report's pause; from the platform."""
+"""Grace period on the platform before a reduced capacity is enforced: 3 s and a report interval."""
 HOLD_GRAIN_S = 0.005
-"""How often a waiting answer looks for an end."""
+"""Interval at which a pending poll checks for ended runs."""
 ANSWER_S = (0.0003, 0.002)
-"""Bounds on how long a sound worker takes for an answer."""
+"""Range of response times without a fault."""
 KINDS = {START_PATH: "start", STOP_PATH: "stop", LOOK_PATH: "hold"}
 CLOCK_AHEAD_S = 5_000.0
-"""What the worker's clock shows more than the agent's at the beginning. A later life under the same
-id begins at 0, so that a moment on an earlier one's clock is far ahead."""
+"""Initial offset of the worker's clock from the agent's. The clock of a later incarnation under the
+same id starts at 0, so that a time on an earlier one's clock is far in the future."""
 
 
 class TaskText(msgspec.Struct, frozen=True, kw_only=True):
-    """A task's text: what the modelled worker needs to know of it, and of which try it is."""
+    """The payload of a job, which tells the modelled worker how its tasks run."""
 
     run_s: tuple[float, ...]
     cpu: int
@@ -51,18 +51,18 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StartedRun:
-    """A run as it begins."""
+    """A run that has just started."""
 
     worker: str
     task: str
     run: int
     submission: int
     earlier_run: int | None = None
-    """The run of the task that was going on the same worker."""
+    """The run of the same task that was active on the same worker."""
 
 
 class ModelWorker:
-    """One worker. Its clock goes on through all of its lives, as its machine's does."""
+    """One worker. Unless it keeps its id, its clock continues across incarnations."""
 
     def __init__(
         self,
@@ -94,20 +94,20 @@
         self._on_crash = on_crash
         self._on_overload = on_overload
         self._guards = True
-        """Whether it refuses what has no room; one whose room changes leaves that to its agent."""
+        """Whether it refuses starts beyond its capacity; once resized, it relies on its agent."""
         self._shrunk_at = float("-inf")
         self.leaves_at: float | None = None
-        """When it may end at the soonest, once it has said that it leaves."""
+        """Earliest time at which it may end, if it has given notice."""
         self._note = note
         self._runs = EmulatedRuns()
         self._cpus: dict[str, int] = {}
         self._ends_noted = 0
         self._done: set[str] = set()
-        """The tasks that ended well in earlier lives."""
+        """Tasks that completed in earlier incarnations."""
 
     @property
     def life(self) -> WorkerIncarnation:
-        """Its account of itself."""
+        """The current incarnation, as it is reported to the agent."""
         return WorkerIncarnation(
             id=make_life_id(self._wire_id, self._born),
             service=SERVICE,
@@ -120,22 +120,22 @@
 
     @property
     def _wire_id(self) -> str:
-        """The id that it reports under, and that calls name."""
+        """The id in its reports and in calls to it."""
         return f"i-{self.name}" if self._keeps_id else f"i-{self.name}-{self._lives}"
 
     @property
     def _born(self) -> int | msgspec.UnsetType:
-        """When this life was born, in Unix milliseconds, or nothing while ids tell lives apart."""
+        """Start of this incarnation (Unix milliseconds); unset if its id is unique."""
         return int((EPOCH_S + self._began_at) * 1000) if self._keeps_id else msgspec.UNSET
 
     @property
     def name(self) -> str:
-        """Its name, which its life's id holds too."""
+        """The name of its host, which is part of its id."""
         return self.host.name
 
     @property
     def done(self) -> set[str]:
-        """The tasks that have ended well here."""
+        """Tasks that have completed on this worker."""
         self._advance()
         return self._done | self._runs.done
 
@@ -143,19 +143,19 @@
         return None if self.leaves_at is None else max(self.leaves_at - self._timeline.now, 0.0)
 
     def get_active(self) -> dict[str, int]:
-        """Return the runs that are going, by task."""
+        """Return the active runs by task."""
         self._advance()
         return {task: active.order.run for task, active in self._runs.active.items()}
 
     def resize(self, cpu: int) -> None:
-        """Have another capacity from now on, and start whatever it is told."""
+        """Change the capacity, and accept all starts from now on."""
         if cpu < self._cpu:
             self._shrunk_at = self._timeline.now
         self._cpu = cpu
         self._guards = False
 
     def crash(self) -> None:
-        """End this life with all that runs; the next one begins once its host is up again."""
+        """End this incarnation and its runs; the next one starts once the host is up again."""
         self._done = self.done
         self._lives += 1
         self.leaves_at = None
@@ -167,7 +167,7 @@
             self._clock_zero = 0.0
 
     def accept(self, end: End) -> None:
-        """Take a connection."""
+        """Accept a connection."""
         end.attach(receive=lambda data: self._receive(end, data), lose=lambda: None)
 
     def _now(self) -> float:
@@ -216,12 +216,12 @@
         self._answer_soon(end, status, answer, effect=effect, delay_s=delay_s)
 
     def _carry_out_later(self, kind: str, call: dict[str, Any], delay_s: float) -> None:
-        """Carry a call out later, unless the life that it was meant for is over by then."""
+        """Execute a call later, unless the incarnation it was sent to has ended by then."""
         life = self._lives
 
         def carry_out() -> None:
             if self._lives == life:
-                self._note(self.name, f"carries out a late {kind}")
+                self._note(self.name, f"executes a late {kind}")
                 self._carry_out(kind, call)
 
         self._timeline.call_later(delay_s, carry_out)
@@ -257,7 +257,7 @@
         return (409 if reason else 200), self._make_answer(reason)
 
     def _is_there(self, call: dict[str, Any]) -> bool:
-        """Tell whether the run that a call names is going."""
+        """Return whether the run that a call names is active."""
         active = self._runs.active.get(call["task"])
         return active is not None and active.order.run == call["run"]
 
@@ -274,19 +274,19 @@
             run_s=text.run_s[position],
         )
         if not is_there and self._guards and not self._has_room(text.cpu):
-            # Room is looked at last: a start that is refused for another reason says so.
+            # Capacity is checked last, so that other reasons for a refusal take precedence.
             return self._renew(call) or "room"
         earlier_run = self.get_active().get(task)
         reason = self._runs.start(order, now=now)
         left_s = order.until_s - now
         self._note(
             self.name,
-            f"start of {task} run {run}: {reason or 'ok'}, lease of {left_s:.3f} s in it",
+            f"start of {task} run {run}: {reason or 'ok'}, lease of {left_s:.3f} s left",
         )
         if not reason and not is_there:
             self._cpus[task] = text.cpu
             if not self._has_room(0) and self._timeline.now > self._shrunk_at + SHRUNK_S:
-                self._on_overload(f"{task} run {run} begins on {self.name} beyond its room")
+                self._on_overload(f"{task} run {run} begins on {self.name} beyond its capacity")
             self._on_start(
                 StartedRun(
                     worker=self.name,
@@ -301,7 +301,7 @@
         return reason
 
     def _crash_later(self, task: str, run: int, delay_s: float) -> None:
-        """End this life by a run that lasts for so long."""
+        """Crash this incarnation unless the run ends within the delay."""
         life = self._lives
 
         def crash() -> None:
@@ -317,7 +317,7 @@
     def _stop(self, call: dict[str, Any]) -> str:
         task, run = call["task"], call["run"]
         is_going = self._is_there(call)
-        self._note(self.name, f"stop of {task} run {run}{'' if is_going else ', not there'}")
+        self._note(self.name, f"stop of {task} run {run}{'' if is_going else ', not active'}")
         if not is_going:
             return self._runs.stop(task, run, call["fence"], now=self._now())
         life, stop_s = self._lives, self._rng.uniform(0.0, STOP_S)
--- a/tests/imports.py
+++ b/tests/imports.py
@@ -1,4 +1,4 @@
-"""Reads what a source file imports, for the tests that guard the layers."""
+"""Reads the imports of a source file, for the tests that check the layering of packages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def get_imports(file: Path) -> set[str]:
-    """Return the modules that a file names in its import statements, wherever they stand."""
+    """Return the modules that a file imports, including imports inside functions."""
     names: set[str] = set()
     for node in ast.walk(ast.parse(file.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: tests of faults that are open. They run, may fail, and are printed."""
+"""Reads KNOWN-RED.txt, the list of tests that may fail because of an open issue."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KnownRed:
-    """One line: the test's id, the cause, and the issue's number."""
+    """One line of the file: test id, cause and issue number."""
 
     test: str
     cause: str
@@ -18,7 +18,7 @@
 
 
 def read_known_red(file: Path = FILE) -> dict[str, KnownRed]:
-    """Return the lines by test; raises :class:`ValueError` for one without its three parts."""
+    """Return the entries by test id; raise :class:`ValueError` for a line without three parts."""
     found: dict[str, KnownRed] = {}
     lines = file.read_text().splitlines() if file.exists() else []
     for line in lines:
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m tests.soak --seeds 50``: many seeds by hand; logs of those that broke are kept."""
+"""Run many soak seeds: ``python -m tests.soak --seeds 50``. Logs of failed seeds are kept."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 def main() -> int:
-    """Play the seeds and return 1 if a promise was broken."""
+    """Run the seeds and return 1 if any violated a guarantee."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seeds", type=int, default=3, help="how many fresh seeds")
-    parser.add_argument("--seed", type=int, default=None, help="one seed again")
-    parser.add_argument("--seconds", type=float, default=15.0, help="length of the faults")
+    parser.add_argument("--seeds", type=int, default=3, help="number of fresh seeds")
+    parser.add_argument("--seed", type=int, default=None, help="repeat this seed only")
+    parser.add_argument("--seconds", type=float, default=15.0, help="duration of the faults")
     parser.add_argument("--entries", type=int, default=3)
     parser.add_argument("--workers", type=int, default=4)
     parser.add_argument(
-        "--crashes", action="store_true", help="tasks that crash workers, which keep their ids"
+        "--crashes", action="store_true", help="tasks crash workers, which keep their ids"
     )
-    parser.add_argument("--preempts", action="store_true", help="urgent jobs that take room")
+    parser.add_argument("--preempts", action="store_true", help="urgent jobs preempt others")
     parser.add_argument("--load", action="store_true", help="all decisions under load")
-    parser.add_argument("--logs", default="build/soak", help="where logs are kept")
+    parser.add_argument("--logs", default="build/soak", help="folder for logs")
     options = parser.parse_args()
     seeds = [options.seed] if options.seed is not None else []
     seeds = seeds or [random.SystemRandom().randrange(10**6) for _ in range(options.seeds)]
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that submit jobs, hang up, and submit the same id again, to any entry."""
+"""Callers that submit jobs, hang up, and resubmit the same id to any entry."""
 
 from __future__ import annotations
 
@@ -13,29 +13,29 @@
 from tests.soak.report import Report
 
 RESEND_S = 1.3
-"""How long a caller waits before it sends a job again that was broken off."""
+"""Delay before a caller resubmits a job without a final answer."""
 TRIES = 4
 REFUSALS = (429, 503)
-"""Answers that promise that a job has not run."""
+"""Status codes that guarantee that a job has not run."""
 HANG_UP_SHARE = 0.15
-"""Share of the tries, but for a job's last one, that a caller gives up while the job may run."""
+"""Share of the attempts, except the last, that a caller abandons while the job may run."""
 LEAST_PATIENCE_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class JobKind:
-    """What the jobs of a caller are like: ranges to draw from, and how long it waits."""
+    """Parameters of a caller's jobs; pairs are ranges to draw from."""
 
     tasks: tuple[int, int]
     run_s: tuple[float, float]
     estimate_ms: int
     patience_s: float
     crash_s: float | None = None
-    """How long after its start a task crashes its worker, if it does."""
+    """Time from the start of a task to the crash of its worker, or None."""
     pause_s: float = 0.1
-    """Longest pause between two jobs of a caller."""
+    """Maximum pause between two jobs of a caller."""
     prefix: str = PREFIX
-    """Where its jobs are submitted, which decides their priority."""
+    """Path prefix of the submissions, which determines their priority."""
 
 
 SHORT_JOBS = JobKind(
@@ -63,30 +63,30 @@
 
 
 def make_prefix(number: int) -> str:
-    """Return the first digits of the ids of a caller's jobs."""
+    """Return the prefix of the ids of a caller's jobs."""
     return f"{number:04x}"
 
 
 async def submit(
     cluster: Cluster, url: str, body: Any, *, patience_s: float
 ) -> tuple[int | None, str]:
-    """Submit a job; return the status, or None without one, and the state."""
+    """Submit a job; return the status, or None without an answer, and the state."""
     try:
         response = await cluster.client.request(
             "POST", url, body=body, headers={"Host": HOST}, timeout_s=patience_s
         )
     except HttpFailure:
-        # Also when the last connection was refused: the client sends a request again by itself
-        # when a kept connection breaks, so an earlier one may have been read.
+        # A refused connection does not mean that the job has not run: the client retries by itself
+        # when a kept connection breaks, so the entry may have read an earlier request.
         return None, ""
     return response.status, response.decode(dict[str, Any]).get("state", "")
 
 
 class Caller:
-    """Submits one job after another until it is told to leave, and judges what became of each.
+    """Submits one job after another until it is stopped, and checks the result of each.
 
-    ``rng`` draws the jobs. Hang-ups are drawn apart, so that older seeds keep their jobs. With
-    ``keeps_entry`` it goes on with an entry, over open connections, until that gives no answer.
+    ``rng`` draws the jobs. Hang-ups have a generator of their own, so that they do not change the
+    jobs of a seed. With ``keeps_entry`` it uses the same entry until that does not answer.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._is_leaving = False
 
     def leave(self) -> None:
-        """Submit no further job once the present one is judged."""
+        """Stop after the current job."""
         self._is_leaving = True
 
     async def run(self) -> None:
@@ -122,7 +122,7 @@
             await asyncio.sleep(self._rng.uniform(0.0, self._kind.pause_s))
 
     async def _run_job(self, job_id: str) -> None:
-        """Submit a job as a caller does: again after a while if it is broken off."""
+        """Submit a job, with retries after a pause while there is no final answer."""
         tasks = self._rng.randint(*self._kind.tasks)
         run_s = self._rng.uniform(*self._kind.run_s)
         body = {
@@ -170,4 +170,4 @@
             self._report.refused_jobs.add(job_id)
             started = [row for w in workers for row in w.started if row[0] in names]
             if started:
-                self._report.broken.append(f"{job_id} was refused as not run and ran: {started}")
+                self._report.broken.append(f"{job_id} was refused as not run but ran: {started}")
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The real programs as processes, with stand-ins of the platform and proxies between them."""
+"""The real programs as processes, with emulated platform services and proxies between them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 REGION = "texas"
 LESS_URGENT_PREFIX = "/less-urgent/"
 KINDS = "abc"
-"""Labels of workers by their speed."""
+"""Labels of workers, one for each speed."""
 SPARED = "waco"
-"""Data centre of every other worker, which operators evacuate now and then."""
+"""Data centre of every other worker, which is evacuated from time to time."""
 
 
 class Program:
-    """One fleet process that can be killed, paused, stopped and started again."""
+    """A fleet process that can be killed, paused, stopped and restarted."""
 
     def __init__(self, *, role: str, name: str, folder: Path, settings: dict[str, Any]) -> None:
         self.name = name
@@ -39,7 +39,7 @@
         self._process: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Start it, unless an overlapping fault has started it already."""
+        """Start the process, unless an overlapping fault has already started it."""
         if self._process is not None and self._process.poll() is None:
             return
         environment = {**os.environ, "DALEMAST_BOOT": str(self._file)}
@@ -52,7 +52,7 @@
         )
 
     def describe(self) -> str:
-        """Return whether it lives, and what the system says it is doing, or how it ended."""
+        """Return the state of the process according to the operating system, or its exit code."""
         if self._process is None:
             return f"{self.name}: never started"
         code = self._process.poll()
@@ -63,29 +63,29 @@
         return f"{self.name}: process {self._process.pid}, {state}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone, if it lives."""
+        """Send a signal to this process only, if it is running."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     async def wait(self) -> int:
-        """Wait for its end and return the exit code."""
+        """Wait for the process to exit and return its exit code."""
         assert self._process is not None
         while self._process.poll() is None:
             await asyncio.sleep(0.02)
         return int(self._process.returncode)
 
     async def end(self) -> None:
-        """Kill it for good."""
+        """Kill the process and close its log."""
         self.signal(signal.SIGKILL)
         await self.wait()
         self._log.close()
 
 
 class Cluster:
-    """Entries, agents, workers and a store. Ports come from the system.
+    """Entries, agents, workers and a store, on free ports.
 
-    ``switches`` are the decisions under load that entries and agents make. ``speeds`` go to workers
-    in turn, and those of one speed share a label.
+    ``switches`` are the decisions under load that are enabled. ``speeds`` are assigned to workers
+    in turn; workers of one speed share a label.
     """
 
     def __init__(
@@ -110,12 +110,12 @@
         self.callers: list[str] = []
         self.proxies: list[Proxy] = []
         self.links: list[Proxy] = []
-        """Those of :attr:`proxies` that stand in front of entries."""
+        """The :attr:`proxies` in front of entries."""
         self.client = JsonClient()
         self.version = 7
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start all services and processes."""
         self.store.start()
         self._put_configuration()
         store = await self._add_proxy(self.store.address)
@@ -133,7 +133,7 @@
             program.start()
 
     async def close(self) -> None:
-        """End everything that was started."""
+        """Stop all services and processes."""
         for program in [*self.entries, *self.agents]:
             await program.end()
         for worker in self.workers:
@@ -144,17 +144,17 @@
         await self.store.close()
 
     def change_configuration(self) -> None:
-        """Let the operator accept another version."""
+        """Publish a new configuration version."""
         self.version += 3
         self._put_configuration()
 
     def count_preempted(self) -> int:
-        """Return how many runs agents have told to give way, by their logs."""
+        """Return the number of preempted runs in the logs of the agents."""
         logs = self._folder.glob("agent-*.log")
         return sum(log.read_text().count('"run:preempted"') for log in logs)
 
     def _put_configuration(self) -> None:
-        """Write the configuration: the usual queue, and with preemption a less urgent one."""
+        """Publish the configuration; under load it has a second, less urgent queue."""
         configuration = make_configuration(self.version)
         if self._load:
             urgent = configuration["routes"][0]
@@ -167,23 +167,23 @@
         self.store.put("op", "config", configuration)
 
     def evacuate(self) -> None:
-        """Let the operator ask that nothing be started in one data centre."""
+        """Evacuate a data centre: no task may be started there."""
         self.store.put("op", f"evacuate/{SPARED}", {})
 
     def take_back(self) -> None:
-        """Let the operator withdraw that."""
+        """End the evacuation."""
         self.store.drop("op", f"evacuate/{SPARED}")
 
     def get_slowness(self, worker: EmulatedWorker) -> float:
-        """Return how many times as long as usual a sound worker takes."""
+        """Return the run time factor of a worker without faults."""
         return 1.0 / self._speeds[self.workers.index(worker) % len(self._speeds)]
 
     def get_spared(self) -> list[EmulatedWorker]:
-        """Return the workers of the data centre that is evacuated now and then."""
+        """Return the workers of the data centre that is evacuated from time to time."""
         return self.workers[1::2]
 
     async def get_state(self, program: Program) -> dict[str, Any] | None:
-        """Return a process's dump, or None when it does not answer."""
+        """Return the state of a process, or None if it does not answer."""
         try:
             response = await self.client.request(
                 "GET", f"http://{program.metrics}/state", timeout_s=0.5
--- a/tests/soak/crashes.py
+++ b/tests/soak/crashes.py
@@ -1,4 +1,4 @@
-"""Counts the starts of tasks that crash their workers, and tells when there are too many."""
+"""Counts starts of tasks that crash their workers, and reports excessive ones."""
 
 from __future__ import annotations
 
@@ -10,15 +10,14 @@
 
 MOST_CRASHES = 3
 TOO_MANY_STARTS = 3
-"""A task is not started this often after :data:`MOST_CRASHES` workers have crashed under it; from
-the platform."""
+"""Starts of a task after its first :data:`MOST_CRASHES` crashes that violate a platform rule."""
 
 
 class CrashCount:
-    """What the stand-ins of workers saw, all together.
+    """Crashes and starts of tasks on all emulated workers.
 
-    ``callers`` are the first digits of the ids of jobs whose tasks crash their workers. Others may
-    be started again, however many workers have crashed with them.
+    ``callers`` are the id prefixes of the jobs whose tasks crash their workers. Other tasks may be
+    started again, however many workers have crashed while running them.
     """
 
     def __init__(self, *, report: Report, callers: tuple[str, ...]) -> None:
@@ -28,14 +27,14 @@
         self._late_starts: Counter[str] = Counter()
 
     def note_crash(self, tasks: set[str]) -> None:
-        """Note that a worker has crashed under these tasks, one of which made it."""
+        """Record a crash of a worker that was running these tasks, one of which caused it."""
         self._report.crashes += 1
         self._crashes.update(task for task in tasks if task.startswith(self._callers))
 
     def note_start(self, task: str) -> None:
-        """Note a start of any task."""
+        """Record a start of any task."""
         if self._crashes[task] < MOST_CRASHES:
             return
         self._late_starts[task] += 1
         if self._late_starts[task] == TOO_MANY_STARTS:
-            self._report.broken.append(f"{task} was started on after {MOST_CRASHES} crashes")
+            self._report.broken.append(f"{task} was still started after {MOST_CRASHES} crashes")
--- a/tests/soak/departures.py
+++ b/tests/soak/departures.py
@@ -1,4 +1,4 @@
-"""Workers that leave with notice and come back, in series that overlap, beside all other faults."""
+"""Workers that leave with notice and come back, overlapping with one another and other faults."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 from tests.soak.report import Report
 
 DRAIN_S = 2.0
-"""How long after it took note that its worker leaves an agent may start tasks there: the platform's
-`drain_ms`."""
+"""Time for which an agent may still start tasks on its worker after it has received the notice: the
+platform's `drain_ms`."""
 STRIKE_PAUSE_S = (0.2, 2.0)
-"""Between one notice and the next one."""
+"""Range of pauses between two notices."""
 NOTICE_S = (0.5, 5.0)
 TAKEN_BACK_SHARE = 0.25
 LINGER_SHARE = 0.4
 LINGER_S = (0.5, 3.0)
-"""How much longer than it said a worker stays, if it does."""
+"""How long a worker stays after its notice has run out, in some cases."""
 AWAY_S = (0.2, 2.0)
 GRAIN_S = 0.1
 
 
 class Departures:
-    """Gives notices with draws of its own, and tells of starts that come too late after one.
+    """Gives notices of workers, and reports starts that come too late after a notice.
 
-    ``down`` are the workers that a fault has ended and starts again itself.
+    ``down`` are the workers that another fault has stopped and will restart.
     """
 
     def __init__(self, *, cluster: Cluster, report: Report, down: set[EmulatedWorker]) -> None:
@@ -37,7 +37,7 @@
         self._rng = random.Random(f"departures of {report.seed}")
 
     async def strike_for(self, seconds: float) -> None:
-        """Give notices for a while; return once all workers stay or are back."""
+        """Give notices for a while; return when all workers are up again without a notice."""
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
@@ -49,13 +49,13 @@
         await asyncio.gather(*running)
 
     def check_start(self, worker: EmulatedWorker, task: str) -> None:
-        """Check that a start comes in time if its worker has said that it leaves."""
+        """Check that a start on a worker that has given notice comes in time."""
         known_at = worker.leave_known_at
         if known_at is None or worker.state != "draining":
             return
         late_s = time.monotonic() - known_at - DRAIN_S
         if late_s > 0.0:
-            line = f"{task} begins {late_s:.2f} s too late on leaving {worker.worker_id}"
+            line = f"{task} started {late_s:.2f} s too late on leaving worker {worker.worker_id}"
             self._report.broken.append(line)
 
     async def _give_notice(self, worker: EmulatedWorker, rng: random.Random) -> None:
@@ -80,7 +80,7 @@
 
     @staticmethod
     async def _count_down(worker: EmulatedWorker, notice_s: float, stays_s: float) -> bool:
-        """Let a worker say what it has left; return False if its life has ended meanwhile."""
+        """Let a worker report its remaining time; return False if its incarnation ends."""
         life, began_at = worker.life_id, time.monotonic()
         worker.state = "draining"
         while time.monotonic() < began_at + stays_s:
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -1,4 +1,4 @@
-"""Faults around orders: calls to workers that go astray while agents and entries stand still."""
+"""Faults around starts and stops: calls to workers fail while agents and entries are paused."""
 
 from __future__ import annotations
 
@@ -12,42 +12,43 @@
 from tests.soak.cluster import Cluster, Program
 
 STRIKE_PAUSE_S = (0.1, 1.5)
-"""Between one fault's beginning and the next one's."""
+"""Range of times between the beginnings of two faults."""
 ASTRAY_S = (0.5, 4.0)
-"""How long the calls of a worker go astray."""
+"""Range of times for which calls to a worker fail."""
 STANDSTILL_S = (0.5, 2.8)
-"""How long processes are stopped: less and more than the 1.2 s after which owners begin anew."""
+"""Range of process pauses, around the 1.2 s after which owners restart lost tasks."""
 CUT_S = (0.5, 2.5)
 START_WAIT_S = 2.0
-"""How long a fault that strikes amid a start waits for one."""
+"""Maximum wait of a fault for a start to coincide with."""
 AMID_START_S = 0.05
-"""How soon after a start reached its worker an agent is stopped: its first try waits 0.04 s."""
+"""Maximum time from the arrival of a start at a worker to the pause of its agent, about the timeout
+of the agent's first attempt."""
 
 
 class OrderFaults:
-    """Strikes in series that overlap, beside all other faults, with draws of its own."""
+    """Injects overlapping faults, drawn independently of other faults."""
 
     def __init__(self, *, cluster: Cluster, seed: int) -> None:
         self._cluster = cluster
         self._rng = random.Random(f"orders of {seed}")
         self._started: dict[EmulatedWorker, asyncio.Event] = {}
         self.struck: list[str] = []
-        """The names of the faults, in their order."""
+        """Names of the injected faults, in order."""
 
     def take_call(self, worker: EmulatedWorker, record: CallRecord) -> None:
-        """Note that a call has reached a worker."""
+        """Record that a call has reached a worker."""
         if record.kind is CallKind.START and worker in self._started:
             self._started[worker].set()
 
     async def strike_for(self, seconds: float) -> None:
-        """Strike for a while; return once all faults are over."""
+        """Inject faults for a while; return when all are over."""
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
         while loop.time() < end_at:
             fault = self._rng.choice(self._get_faults())
             self.struck.append(fault.__name__)
-            # Draws of its own for each, so that they don't depend on which one goes on first.
+            # A generator for each fault, so that draws do not depend on how faults interleave.
             rng = random.Random(self._rng.random())
             running.add(asyncio.create_task(fault(rng)))
             await asyncio.sleep(self._rng.uniform(*STRIKE_PAUSE_S))
@@ -65,7 +66,7 @@
 
     @staticmethod
     def _draw_fates(rng: random.Random) -> CallFates:
-        """Draw shares that sum up to 0.9 at most."""
+        """Draw the shares of failing calls, 0.9 in total at most."""
         shares = [rng.choice([0.0, rng.uniform(0.0, 0.5)]) for _ in range(4)]
         scale = min(1.0, 0.9 / max(sum(shares), 0.1))
         answered_late, unanswered, done_late, lost = (share * scale for share in shares)
@@ -74,7 +75,7 @@
         )
 
     def _set_fates(self, worker: EmulatedWorker, rng: random.Random) -> None:
-        """Let a worker's starts and stops go astray, and now and then its looks."""
+        """Make starts and stops of a worker fail, and sometimes its polls."""
         looks = self._draw_fates(rng) if rng.random() < 0.3 else CallFates()
         worker.set_faults(starts=self._draw_fates(rng), stops=self._draw_fates(rng), looks=looks)
 
@@ -84,7 +85,7 @@
 
     @staticmethod
     def _pick_some(count: int, rng: random.Random) -> list[int]:
-        """Return some positions of workers and agents, at least one."""
+        """Return a random selection of indexes of workers and agents, at least one."""
         return rng.sample(range(count), rng.randint(1, count))
 
     async def _lead_astray(self, rng: random.Random) -> None:
@@ -98,7 +99,7 @@
             self._heal(worker)
 
     async def _pause_amid_starts(self, rng: random.Random) -> None:
-        """Stop agents just after a start reached the worker of one of them."""
+        """Pause agents just after a start has reached the worker of one of them."""
         chosen = self._pick_some(len(self._cluster.agents), rng)
         workers = [self._cluster.workers[n] for n in chosen]
         for worker in workers:
@@ -115,17 +116,17 @@
         try:
             await asyncio.wait_for(started.wait(), START_WAIT_S)
         except TimeoutError:
-            # No start came there meanwhile: the agent is stopped without one under way.
+            # No start arrived in time: the agent is paused without one in progress.
             return
 
     async def _pause_several(self, rng: random.Random) -> None:
-        """Stop entries and agents at the same moment while calls go astray."""
+        """Pause entries and agents at the same time while calls fail."""
         programs = [*self._cluster.entries, *self._cluster.agents]
         chosen = rng.sample(programs, rng.randint(2, len(programs) - 1))
         await asyncio.gather(self._lead_astray(rng), self._stand_still(chosen, rng))
 
     async def _stand_still(self, programs: list[Program], rng: random.Random) -> None:
-        """Stop processes at once; they go on at once, or one after another."""
+        """Pause processes together; resume them together or one after another."""
         for program in programs:
             program.signal(signal.SIGSTOP)
         await asyncio.sleep(rng.uniform(*STANDSTILL_S))
@@ -135,7 +136,7 @@
             await asyncio.sleep(pause_s)
 
     async def _cut_links(self, rng: random.Random) -> None:
-        """Cut an entry off from some agents and peers while stops go astray."""
+        """Cut an entry off from some agents and peers while calls fail."""
         link = rng.choice(self._cluster.links)
         straying = asyncio.create_task(self._lead_astray(rng))
         link.cut_some(rng.uniform(0.3, 1.0), rng)
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, silences, cuts one way or resets what passes through it."""
+"""A loopback proxy that can delay, hold back, cut or reset the connections through it."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 import time
 
 LATE_S = 0.25
-"""How long this process may stand still before what waited in its sockets counts as held up. Owners
-give a silent link up after 0.45 s, and then what they sent must not arrive any more."""
+"""Pause of this process after which bytes in its sockets count as held back. It must be shorter
+than the 0.45 s after which owners close an unresponsive link, whose bytes must not arrive later."""
 TICK_S = 0.02
-"""Pause between two marks of the time at which this process ran: far below :data:`LATE_S`."""
+"""Interval between two ticks that detect pauses of this process: far below :data:`LATE_S`."""
 DOUBT_S = 0.05
-"""For how long after a standstill bytes still count as held up: the mark may be renewed in the same
-turn of the loop before the sockets are read."""
+"""Time after a pause for which bytes still count as held back: the tick may run in the same turn of
+the event loop before the sockets are read."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
-"""Linger for no time: a connection that is closed so is reset."""
+"""Value of SO_LINGER with timeout 0: closing the connection resets it."""
 CHUNK_BYTES = 65536
 
 
 def reset_connection(writer: asyncio.StreamWriter) -> None:
-    """Reset a connection, so that its other end learns of it at once."""
+    """Reset a connection, which its other end detects at once."""
     sock = writer.get_extra_info("socket")
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -31,11 +31,11 @@
 
 
 class Proxy:
-    """One listening address in front of another.
+    """A listening address that forwards to a target address.
 
-    Held-up bytes pass on once the fault is over, unless their sender has reset the connection
-    meanwhile: then they are lost, as on the platform. When this process itself stood still, resets
-    may wait in its sockets behind the bytes, so such connections are reset with all they hold.
+    Held bytes are forwarded when the fault is over, unless their sender has reset the connection
+    meanwhile: then they are lost, as on the platform. After a pause of this process itself, a reset
+    may be queued in a socket behind the bytes, so such connections are reset with their data.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -45,25 +45,25 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._open = {"up": asyncio.Event(), "down": asyncio.Event()}
         self._passages: set[asyncio.Event] = set()
-        """One for each connection, set while it isn't cut."""
+        """One event for each connection, set while it is not cut."""
         self._is_cutting = False
         self.delay_s = 0.0
         self.address = ""
         self._ticked_at = time.monotonic()
         self._doubted_until = 0.0
         self._generation = 0
-        """Connections of earlier generations swallow what they get and pass nothing on."""
+        """Connections of earlier generations discard all data."""
         self.heal()
 
     async def start(self) -> None:
-        """Listen on a port that the system chooses."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         self._ticker = asyncio.create_task(self._tick_forever())
 
     async def close(self) -> None:
-        """Stop and drop all connections."""
+        """Stop listening and drop all connections."""
         self._server.close()
         self._ticker.cancel()
         self.heal()
@@ -72,12 +72,12 @@
         await asyncio.gather(*self._serving, return_exceptions=True)
 
     def silence(self, *ways: str) -> None:
-        """Hold up what goes up, down, or both."""
+        """Hold back data in the given directions, "up" to the target or "down" from it."""
         for way in ways:
             self._open[way].clear()
 
     def cut_some(self, share: float, rng: random.Random) -> None:
-        """Hold up a share of the open connections, and all new ones: those whom it strikes dial."""
+        """Hold back a share of the open connections, and all new ones, since clients reconnect."""
         self._is_cutting = True
         for passage in self._passages:
             if rng.random() < share:
@@ -91,7 +91,7 @@
             event.set()
 
     def swallow_open(self) -> None:
-        """Let all open connections fall silent for good, without a reset; new ones work."""
+        """Discard all data of the open connections permanently, without a reset; new ones work."""
         self._generation += 1
 
     def reset(self) -> None:
@@ -100,7 +100,7 @@
             reset_connection(writer)
 
     async def _tick_forever(self) -> None:
-        """Mark the time over and over; a mark that is old tells of a standstill."""
+        """Record the time at short intervals; an old record means that this process was paused."""
         while True:
             now = time.monotonic()
             if now - self._ticked_at > LATE_S:
@@ -109,7 +109,7 @@
             await asyncio.sleep(TICK_S)
 
     def _stood_still(self) -> bool:
-        """Tell whether this process did not run for a while before what is being read was read."""
+        """Return whether this process was paused before the current read."""
         now = time.monotonic()
         return now - self._ticked_at > LATE_S or now < self._doubted_until
 
@@ -133,7 +133,7 @@
         self._tasks.update(tasks)
         self._writers.update((writer, onward[1]))
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-        # The other end of a connection that is cut does not hear of its end before the cut is over.
+        # The end of a connection must not pass a cut either.
         await passage.wait()
         self._passages.discard(passage)
         for task in tasks:
@@ -163,10 +163,10 @@
                 if generation < self._generation:
                     continue
                 if reader.exception() is not None:
-                    # The sender has reset the connection while its bytes were held up.
+                    # The sender has reset the connection while its bytes were held back.
                     return
                 writer.write(data)
                 await writer.drain()
             if generation < self._generation:
-                # The other end of a silent connection does not hear of its end either.
+                # The end of a connection that discards its data is not forwarded either.
                 await asyncio.Event().wait()
--- a/tests/soak/report.py
+++ b/tests/soak/report.py
@@ -1,4 +1,4 @@
-"""What a run of the soak saw."""
+"""The report of a soak run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(kw_only=True)
 class Report:
-    """What a run saw. ``broken`` has a line for each promise that was broken."""
+    """Counts and findings of a run. ``broken`` has a line for each violated guarantee."""
 
     seed: int
     jobs: int = 0
@@ -15,11 +15,11 @@
     refused: int = 0
     hung_up: int = 0
     crashes: int = 0
-    """How often a task has crashed its worker."""
+    """Number of workers that were crashed by a task."""
     preempted: int = 0
-    """How often a run was told to give way to a more urgent job."""
+    """Number of preempted runs."""
     refused_jobs: set[str] = field(default_factory=set)
-    """Jobs none of which may run: every attempt of their caller was refused."""
+    """Jobs that must never run, since every attempt of their caller was refused."""
     faults: list[str] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: callers submit, faults strike in series that overlap, promises are checked."""
+"""One soak run: callers submit jobs under overlapping seeded faults, and guarantees are checked."""
 
 from __future__ import annotations
 
@@ -31,26 +31,29 @@
 from tests.soak.writer import ForeignWriter
 
 CALM_S = 25.0
-"""Longest time after the last fault until every entry serves again."""
+"""Maximum time from the last fault until every entry serves jobs again."""
 CALLERS = 6
 LONG_CALLERS = 2
-"""Callers whose tasks go on while links are cut, processes stand still and stops are lost."""
+"""Callers whose tasks are long enough to overlap with cuts, pauses and lost stops."""
 LESS_URGENT_CALLERS = 4
-"""Callers of less urgent jobs for each worker of eight cores: their tasks fill it."""
+"""Callers of less urgent jobs per worker, enough for their tasks to fill its eight cores."""
 SPEEDS = (1.0, 0.6, 1.6)
-"""How many times as fast as usual workers are, in turn, with ``load``."""
+"""Relative speeds of the workers with ``load``, assigned in turn."""
 PROBE = "f" * 12 + "{:04x}"
-"""Ids of the jobs that are submitted when nothing else runs; no caller has such."""
+"""Format of the ids of jobs that probe idle entries; callers use other ids."""
 PROBE_PATIENCE_S = 8.0
 SPARED_S = 1.0
-"""How long the workers of an evacuated data centre are watched once every process knows."""
+"""How long workers of an evacuated data centre are observed once all processes know of it."""
 
 
 class Soak:
-    """One run. With ``crashes`` some tasks crash their workers, which keep their ids, and whose
-    room shrinks and grows. With ``preempts`` callers of less urgent jobs fill the workers, and the
-    others' take room from them. With ``load`` they do so too, all decisions under load are made,
-    workers are uneven, and some leave with notice."""
+    """One run of the soak test.
+
+    With ``crashes``, some tasks crash their workers, which keep their ids and are resized. With
+    ``preempts``, less urgent jobs fill the workers and other jobs preempt them. ``load`` includes
+    ``preempts``, enables all decisions under load, and has workers of unequal speeds, some of which
+    leave with notice.
+    """
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._operator_rng = random.Random(f"evacuations of {seed}")
-        """Draws of its own, so that a seed that once failed still strikes with the same faults."""
+        """A separate generator, so that evacuations do not change the other faults of a seed."""
         self._resize_rng = random.Random(f"resizes of {seed}")
         self._long_rng = random.Random(f"long jobs of {seed}")
         self._crashing_kinds = CRASHING_JOBS if crashes else ()
@@ -89,13 +92,13 @@
         self._trace = Trace(folder=folder)
         self._versions: dict[str, tuple[str, int]] = {}
         self._crashed: set[EmulatedWorker] = set()
-        """Workers that are down: an overlapping fault must not start them twice on one port."""
+        """Workers that are down; an overlapping fault must not start them twice on one port."""
         self._departures = Departures(
             cluster=self._cluster, report=self._report, down=self._crashed
         )
 
     async def play(self, *, seconds: float) -> Report:
-        """Play and return what was seen."""
+        """Run the soak test and return its report."""
         cluster = self._cluster
         await cluster.start()
         try:
@@ -137,7 +140,7 @@
         return self._report
 
     def _make_callers(self) -> list[Caller]:
-        """Make callers of short jobs, and some of long ones with draws of their own."""
+        """Make all callers; those of other than short jobs have random generators of their own."""
         kinds = [SHORT_JOBS] * CALLERS + [LONG_JOBS] * LONG_CALLERS
         rngs = [self._rng] * CALLERS + [self._long_rng] * LONG_CALLERS
         for number, kind in enumerate(self._crashing_kinds):
@@ -166,10 +169,12 @@
         self._check_alone(task)
         self._departures.check_start(started_on, task)
         if task.partition(".")[0] in self._report.refused_jobs:
-            self._report.broken.append(f"{task} begins after its job was refused as not run")
+            self._report.broken.append(f"{task} started after its job was refused as not run")
         for worker in self._cluster.workers:
             if task in worker.active_tasks and worker.is_overloaded:
-                self._report.broken.append(f"{task} begins on {worker.worker_id} beyond its room")
+                self._report.broken.append(
+                    f"{task} started on {worker.worker_id} beyond its capacity"
+                )
         self._crashes.note_start(task)
 
     def _check_alone(self, task: str) -> None:
@@ -180,7 +185,7 @@
             self._trace.note_broken(task, running)
 
     async def _watch_versions(self) -> None:
-        """Check that within one life of an entry its configuration never goes back."""
+        """Check that the configuration version of an entry incarnation never decreases."""
         while True:
             for entry in self._cluster.entries:
                 state = await self._cluster.get_state(entry)
@@ -189,7 +194,9 @@
                 life, version = state["incarnation"], state["configuration"]
                 known_life, known = self._versions.get(entry.name, ("", 0))
                 if life == known_life and version < known:
-                    self._report.broken.append(f"{entry.name} went from {known} to {version}")
+                    self._report.broken.append(
+                        f"{entry.name} went back from configuration {known} to {version}"
+                    )
                 self._versions[entry.name] = (life, version)
             await asyncio.sleep(0.2)
 
@@ -295,7 +302,7 @@
         self._crashed.discard(worker)
 
     async def _resize_now_and_then(self) -> None:
-        """Let workers' room shrink and grow, beside the faults."""
+        """Resize workers at random times."""
         while True:
             await asyncio.sleep(self._resize_rng.uniform(0.5, 3.0))
             worker = self._resize_rng.choice(self._cluster.workers)
@@ -305,7 +312,7 @@
         self._cluster.change_configuration()
 
     async def _evacuate_now_and_then(self) -> None:
-        """Let the operator evacuate a data centre and take it back, beside the faults."""
+        """Start and end evacuations of a data centre at random times."""
         while True:
             await asyncio.sleep(self._operator_rng.uniform(0.5, 4.0))
             self._cluster.evacuate()
@@ -313,7 +320,7 @@
             self._cluster.take_back()
 
     async def _check_evacuation(self) -> None:
-        """Check in calm that an evacuation is kept to, and that it ends when it is taken back."""
+        """Check, without faults, that an evacuation takes effect and ends."""
         cluster = self._cluster
         cluster.evacuate()
         await self._wait_for_evacuated([SPARED])
@@ -325,11 +332,11 @@
         await self._wait_for_evacuated([])
 
     async def _check_served(self) -> None:
-        """Check in calm that each entry serves an urgent job while nothing runs or waits."""
+        """Check, without faults, that each idle entry serves an urgent job."""
         give_up_at = asyncio.get_running_loop().time() + CALM_S
         while not await self._is_idle():
             if asyncio.get_running_loop().time() > give_up_at:
-                self._report.broken.append("jobs or runs are left though all callers have gone")
+                self._report.broken.append("jobs or runs remain after all callers have stopped")
                 return
             await asyncio.sleep(0.1)
         body = make_body(text=make_text(0.05))
@@ -337,17 +344,17 @@
             url = f"http://{address}{PREFIX}{PROBE.format(number)}"
             answer = await submit(self._cluster, url, body, patience_s=PROBE_PATIENCE_S)
             if answer != (200, "succeeded"):
-                self._report.broken.append(f"entry-{number} is idle and answers {answer}")
+                self._report.broken.append(f"entry-{number} is idle but answers {answer}")
 
     async def _is_idle(self) -> bool:
-        """Tell whether no worker runs anything and no entry has a job."""
+        """Return whether no worker has a run and no entry has a job."""
         if any(worker.active_tasks for worker in self._cluster.workers):
             return False
         states = [await self._cluster.get_state(entry) for entry in self._cluster.entries]
         return all(state is not None and state["open_jobs"] == 0 for state in states)
 
     async def _wait_for_evacuated(self, data_centres: list[str]) -> None:
-        """Wait until every process spares these data centres and no others."""
+        """Wait until every process knows that exactly these data centres are evacuated."""
         programs = [*self._cluster.entries, *self._cluster.agents]
         give_up_at = asyncio.get_running_loop().time() + CALM_S
         laggards = [program.name for program in programs]
@@ -357,10 +364,12 @@
             laggards = [n for n, state in states if not state or state["evacuated"] != data_centres]
         if laggards:
             silent = [program.describe() for program in programs if program.name in laggards]
-            self._report.broken.append(f"evacuated {data_centres} is not known to {silent}")
+            self._report.broken.append(
+                f"evacuated data centres {data_centres} are not in force at {silent}"
+            )
 
     async def _wait_for_calm(self, when: str) -> None:
-        """Wait until every entry has the newest version and a worker that takes tasks."""
+        """Wait until every entry has the latest configuration and a worker that accepts tasks."""
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + CALM_S
         laggards = [entry.name for entry in self._cluster.entries]
@@ -368,7 +377,7 @@
             await asyncio.sleep(0.1)
             laggards = [e.name for e in self._cluster.entries if not await self._serves(e)]
         if laggards:
-            self._report.broken.append(f"{when} these did not serve again: {laggards}")
+            self._report.broken.append(f"{when}: entries not ready within {CALM_S:g} s: {laggards}")
 
     async def _serves(self, entry: Program) -> bool:
         state = await self._cluster.get_state(entry)
--- a/tests/soak/test_departures.py
+++ b/tests/soak/test_departures.py
@@ -1,4 +1,4 @@
-"""The soak's check on leaving workers tells of late starts and of no others."""
+"""The soak test's check of departures must report late starts on leaving workers, and no others."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_load.py
+++ b/tests/soak/test_load.py
@@ -1,4 +1,5 @@
-"""A short seeded run of the soak with all decisions under load, uneven workers and notices."""
+"""A short soak run with all decisions under load, workers of unequal speeds and departures must
+violate no guarantee."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_preemption.py
+++ b/tests/soak/test_preemption.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak with preemption: less urgent jobs fill the workers."""
+"""A short soak run in which urgent jobs preempt others must not run a task twice."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy holds to what the platform says of bytes that a cut holds up."""
+"""The proxy must treat held bytes as the platform does, or the soak test reports false failures."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 class HeldBytesTests(AsyncTestCase):
     async def _pass_on(self, *, resets: bool) -> bytes:
-        """Send bytes that are held up, end the sending side, heal; return what arrives."""
+        """Send bytes while they are held back, end the sender, heal, and return what arrives."""
         arrived: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -41,7 +41,7 @@
             server.close()
 
     def test_bytes_that_waited_while_the_proxy_stood_still_are_lost(self) -> None:
-        """Seed 914339: on a crowded machine the proxy stood still for more than a second."""
+        """A paused proxy must not deliver bytes if their sender may have reset the connection."""
 
         async def scenario() -> bytes:
             arrived: list[bytes] = []
@@ -73,7 +73,7 @@
         self.assertEqual(b"held up", self.run_async(self._pass_on(resets=False)))
 
     def test_a_cut_holds_up_the_end_of_a_connection_too(self) -> None:
-        """Both ends learn of it once the cut is over, as if no packet had passed."""
+        """Neither end may detect the end of the connection before the cut is over."""
 
         async def scenario() -> None:
             ended = asyncio.Event()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak. ``make fleet-soak SEEDS=50`` plays many."""
+"""Short soak runs of fixed seeds; ``make fleet-soak SEEDS=50`` runs many fresh seeds."""
 
 from __future__ import annotations
 
@@ -9,31 +9,16 @@
 from tests.soak.run import Soak
 
 SEEDS = (1, 877342)
-"""Seeds that failed once.
-
-1 told a broken promise that was none: the soak's caller took a refused connection for a refusal by
-an entry, though its client had sent the request once before on a kept connection. Beside load it
-failed again, when an agent dialled an entry never again whose connection had ended before it was a
-link. Once in 144 plays an agent knew no worker for its last 32 s: it had just begun, took another
-writer's report for the worker's, then that writer's goodbye (`worker:deregistered`), and never met
-the worker again, whose own reports it logged as `worker:doubtful-report` with no life believed in:
-tests/fleet/test_foreign.py.
-877342 ran a task on two workers for a moment: an agent's new life listed no runs, since it had not
-looked at its worker yet, and the owner took what was not listed as over.
-88993, 914339 and 517246, at 15 s and 4 workers, told of two runs since the proxy delivered bytes
-whose sender had reset the connection: tests/soak/test_proxy.py.
-640687: tests/emulator/test_worker.py.
-275726, 33046 and 52313, at 20 s and 4 workers, ran tasks twice: an agent that had stood still went
-on with its tries at starts, with leases from the present.
-106164 and 227739, likewise: tests/fleet/test_strays.py.
-416675, likewise: a start that a cut had held up was acted on after its entry had been killed.
-817283, likewise: an entry that had stood still granted itself an id before it met its peers again.
+"""Regressions.
+
+1: an agent did not redial an entry whose connection had ended during the handshake.
+877342: an owner took runs missing from a restarted agent's first list for ended ones.
 """
 CRASHES_SEED = 35
 SECONDS = 6.0
 LOGS = Path(__file__).parents[2] / "build" / "soak" / "ci"
-"""Logs of a seed that broke a promise stay here: faults strike by the clock, so that a seed that is
-played again need not show the same."""
+"""Folder for the logs of failed seeds. Fault timing depends on the real clock, so a failure may not
+recur when its seed is run again."""
 
 
 class SoakTests(AsyncTestCase):
--- a/tests/soak/trace.py
+++ b/tests/soak/trace.py
@@ -1,4 +1,4 @@
-"""What reached the workers, in the form of the processes' logs: to be read beside them."""
+"""A log of the calls that reached workers, in the format of the logs of the processes."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class Trace:
-    """Writes workers.log in a run's folder. Looks that are served at once are left out."""
+    """Writes workers.log in the folder of a run, without polls that are served normally."""
 
     def __init__(self, *, folder: Path) -> None:
         self._file = (folder / "workers.log").open("a")
 
     def note_call(self, worker: int, record: CallRecord) -> None:
-        """Note a call as it arrives, and once it was carried out."""
+        """Record a call when it arrives, and again when it has been executed."""
         if record.kind is CallKind.LOOK and record.fate is Fate.SERVED:
             return
         self._write(
@@ -30,11 +30,11 @@
         )
 
     def note_broken(self, task: str, workers: list[int]) -> None:
-        """Note that a task runs on several workers."""
+        """Record that a task runs on several workers."""
         self._write(broken=task, workers=workers)
 
     def close(self) -> None:
-        """Write what is left."""
+        """Flush and close the file."""
         self._file.close()
 
     def _write(self, **fields: object) -> None:
--- a/tests/soak/writer.py
+++ b/tests/soak/writer.py
@@ -1,4 +1,4 @@
-"""A writer that is no part of the system: it reports as a worker and leaves rows in the store."""
+"""A foreign writer: it sends reports in the name of workers and writes rows to the store."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 from tests.soak.cluster import Cluster
 
 PAUSE_S = (0.02, 0.4)
-"""Shortest and longest pause between two foreign inputs."""
+"""Range of pauses between two foreign inputs."""
 KNOWN_S = 25.0
-"""Longest time after the last foreign report until each agent knows its own worker."""
+"""Maximum time from the last foreign report until each agent knows its own worker."""
 ROWS = 6
-"""Rows that it leaves in each table; it writes over its own ones."""
+"""Number of foreign rows per table; older ones are overwritten."""
 TABLES = ("op", "dalemast-entries")
 WRONG_VALUES: tuple[Any, ...] = (None, True, [], {}, -1, 10**30)
 RAW_BODIES = (b"", b"\xff\xfe", b"[]", b"{", b'{"service":"\xff"}')
 
 
 class ForeignWriter:
-    """Writes for as long as its block lasts; then checks that agents know their own workers.
+    """Writes while its ``async with`` block runs, then checks that agents know their workers.
 
-    ``broken`` takes a line for each foreign report that was taken though it can't be a worker's.
+    Adds a line to ``broken`` for each accepted report that cannot be a worker's.
     """
 
     def __init__(self, *, cluster: Cluster, seed: int, broken: list[str]) -> None:
         self._cluster = cluster
         self._rng = random.Random(f"foreign writer of {seed}")
-        """Draws of its own, so that a seed that once failed still strikes with the same faults."""
+        """A separate generator, so that foreign inputs do not change the faults of a seed."""
         self._broken = broken
         self.written = 0
 
@@ -64,15 +64,15 @@
         ]
 
     async def _send_unusable(self) -> None:
-        """Send a report that is no worker's, whatever is known."""
+        """Send a report that every agent has to reject."""
         worker = self._pick_worker()
         data = self._rng.choice([self._drop, self._retype, self._move, self._garble])(worker)
         status = await self._send(worker, "Heartbeat", self._pick_id(worker), data)
         if status == 200:
-            self._broken.append(f"a foreign report was taken: {data!r}")
+            self._broken.append(f"a foreign report was accepted: {data!r}")
 
     async def _send_contradicting(self) -> None:
-        """Send another account of a live worker. An agent that has just begun may believe it."""
+        """Send a report that contradicts a live worker; a restarted agent may accept it."""
         worker = self._pick_worker()
         changes: list[dict[str, Any]] = [
             {"seq": 10**9},
@@ -86,14 +86,14 @@
         await self._send(worker, "Heartbeat", worker.worker_id, data)
 
     async def _send_end(self) -> None:
-        """Say that a life ends, unless its worker says that it leaves and could end so itself."""
+        """Deregister a worker, unless it is leaving and may deregister itself."""
         worker = self._pick_worker()
         life_id = self._pick_id(worker)
         if worker.state != "draining":
             await self._send(worker, "Deregister", life_id, b"")
 
     async def _leave_raw_row(self) -> None:
-        """Leave a row whose fields are of other types, or that belongs to another part."""
+        """Write a row with fields of wrong types or of another partition."""
         table, key = self._pick_place()
         row = {"key": key, "value": "e30=", "ver": 1}
         name = self._rng.choice(["key", "value", "ver", "part"])
@@ -101,7 +101,7 @@
         self._cluster.store.put_raw(table, key, msgspec.json.encode({**row, name: value}))
 
     async def _leave_bad_value(self) -> None:
-        """Leave a row whose value can't be read, or is no document of its table."""
+        """Write a row whose value cannot be decoded or is not a document of its table."""
         table, key = self._pick_place()
         store = self._cluster.store
         if self._rng.random() < 0.5:
@@ -111,9 +111,7 @@
 
     def _drop(self, worker: EmulatedWorker) -> bytes:
         report = _read(worker)
-        # A worker need not tell its clock, and an agent that has just begun can't know that the
-        # workers here tell when they were born.
-        # Nor need one that leaves tell what it has left.
+        # Never one of these: agents may accept reports without them.
         needed = [name for name in report if name not in ("clock_ms", "born", "remaining_ms")]
         del report[self._rng.choice(needed)]
         return msgspec.json.encode(report)
@@ -142,18 +140,18 @@
         return (table, key) if table == "op" else (table, f"foreign-{number}")
 
     async def _send(self, worker: EmulatedWorker, name: str, life_id: str, data: bytes) -> int:
-        """Send something to a worker's agent; return the status, or 0 without an answer."""
+        """Send a request to the agent of a worker; return the status, or 0 without an answer."""
         url = f"http://{worker.report_to}/v1/Instances.{name}/{life_id}"
         try:
             return (
                 await self._cluster.client.request("POST", url, body=data, timeout_s=1.0)
             ).status
         except HttpFailure:
-            # The agent may be down or standing still.
+            # The agent may be down or paused.
             return 0
 
     async def _check_workers(self) -> None:
-        """Wait until every agent knows the life of its own worker."""
+        """Wait until every agent knows the incarnation of its own worker."""
         loop = asyncio.get_running_loop()
         give_up_at = loop.time() + KNOWN_S
         wrong = await self._find_wrong()
@@ -161,10 +159,12 @@
             await asyncio.sleep(0.1)
             wrong = await self._find_wrong()
         if wrong:
-            self._broken.append(f"other lives are known than the workers': {wrong}")
+            self._broken.append(
+                f"agents know other incarnations than those of their workers: {wrong}"
+            )
 
     async def _find_wrong(self) -> list[tuple[str, object]]:
-        """Return the agents that know another life, with what they know."""
+        """Return the agents that know another incarnation or none, and what they know."""
         wrong = []
         for agent, worker in zip(self._cluster.agents, self._cluster.workers, strict=True):
             state = await self._cluster.get_state(agent)
