--- a/tests/base.py
+++ b/tests/base.py
@@ -14,11 +14,11 @@
 from dalemast.http.client import JsonClient, JsonResponse
 from dalemast.local import LocalProcess
 
-PATIENCE_S = 20.0
+TIMEOUT_S = 20.0
 """Timeout of waits for a condition; generous, so that no test depends on the machine's speed."""
 
 POLL_S = 0.01
-LONGEST_POLL_S = 0.02
+MAX_POLL_S = 0.02
 """Maximum time that one poll adds to the time waited."""
 
 FREE_ADDRESS = "127.0.0.1:0"
@@ -40,11 +40,11 @@
     """
     waited_s = 0.0
     while not condition():
-        if waited_s > PATIENCE_S:
+        if waited_s > TIMEOUT_S:
             raise AssertionError(f"timed out while waiting for {what}")
         began = time.monotonic()
         await asyncio.sleep(POLL_S)
-        waited_s += min(time.monotonic() - began, LONGEST_POLL_S)
+        waited_s += min(time.monotonic() - began, MAX_POLL_S)
 
 
 def make_job(service: str, *payloads: Any, **fields: Any) -> bytes:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,12 +9,14 @@
 
 from tests.known_red import read_known_red
 
-QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
+SUPPRESSED_CHECKS = [HealthCheck.too_slow, HealthCheck.data_too_large, HealthCheck.filter_too_much]
 
 settings.register_profile(
-    "ci", derandomize=True, deadline=None, database=None, suppress_health_check=QUIET
+    "ci", derandomize=True, deadline=None, database=None, suppress_health_check=SUPPRESSED_CHECKS
+)
+settings.register_profile(
+    "soak", deadline=None, database=None, suppress_health_check=SUPPRESSED_CHECKS
 )
-settings.register_profile("soak", deadline=None, database=None, suppress_health_check=QUIET)
 
 
 def pytest_addoption(parser: pytest.Parser) -> None:
--- a/tests/fleet/test_silent.py
+++ b/tests/fleet/test_silent.py
@@ -50,7 +50,7 @@
 
     def _swallow(self, address: str) -> None:
         """Let all connections to an address fall silent."""
-        self._proxies[address].swallow_open()
+        self._proxies[address].discard_open()
 
 
 class SilentConnectionTests(AsyncTestCase):
--- a/tests/histories/__main__.py
+++ b/tests/histories/__main__.py
@@ -19,8 +19,8 @@
     draw_departure_history,
     draw_history,
     draw_load_history,
-    draw_news_history,
     draw_preemption_history,
+    draw_restart_history,
     draw_suspended_history,
     play,
     shrink,
@@ -53,7 +53,7 @@
         else:
             kinds.append(type(fault).__name__)
     needed = [f"idle {history.idle_s:g} s"] if history.idle_s > 1.0 else []
-    needed += ["slow clock"] if min(history.rates) < 1.0 else []
+    needed += ["slow clock"] if min(history.clock_rates) < 1.0 else []
     needed += ["two entries"] if history.entries > 1 else []
     needed += ["two jobs"] if len(history.jobs) > 1 else []
     return ", ".join([*sorted(kinds), *needed])
@@ -84,7 +84,7 @@
     if arguments.suspended:
         draw = draw_suspended_history
     if arguments.news:
-        draw = draw_news_history
+        draw = draw_restart_history
     if arguments.preemption:
         draw = draw_preemption_history
     if arguments.departures:
--- a/tests/histories/base.py
+++ b/tests/histories/base.py
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class CallFault:
-    """Calls of one kind to a worker fail for a while, ``most`` of them at most.
+    """Calls of one kind to a worker fail for a while, ``max_calls`` of them at most.
 
     ``kind`` is start, stop or hold (a poll). ``delay_s`` is the delay of the late effects.
     """
@@ -113,7 +113,7 @@
     at_s: float
     for_s: float
     delay_s: float = 0.0
-    most: int = 1_000
+    max_calls: int = 1_000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -129,26 +129,26 @@
 class Leave:
     """A worker gives notice that it leaves in ``notice_s`` at the earliest.
 
-    It ends ``stays_s`` after that, or with ``is_taken_back`` withdraws the notice at that time.
+    It ends ``stays_s`` after that, or with ``is_withdrawn`` withdraws the notice at that time.
     """
 
     worker: str
     at_s: float
     notice_s: float
     stays_s: float = 0.0
-    is_taken_back: bool = False
+    is_withdrawn: bool = False
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HangUp:
     """A caller loses its connection and resubmits its job.
 
-    ``is_heard`` is whether the entry notices that the connection ended.
+    ``is_noticed`` is whether the entry notices that the connection ended.
     """
 
     job: int
     at_s: float
-    is_heard: bool = True
+    is_noticed: bool = True
 
 
 Fault = Freeze | Suspend | Kill | Cut | Silence | Drop | CallFault | Resize | Leave | HangUp
@@ -174,28 +174,28 @@
 class History:
     """One history. ``seed`` determines packet delays and other small times.
 
-    ``idle_s`` is how long the fleet is idle before the first job; ``rates`` has the relative speed
-    of each worker's clock.
+    ``idle_s`` is how long the fleet is idle before the first job; ``clock_rates`` has
+    the relative speed of each worker's clock.
     """
 
     seed: int
     jobs: tuple[JobPlan, ...]
     faults: tuple[Fault, ...]
     entries: int = 1
-    rates: tuple[float, ...] = (1.0, 1.0)
+    clock_rates: tuple[float, ...] = (1.0, 1.0)
     cpu: int = 4000
     idle_s: float = 1.0
-    lasts_s: float = 6.0
+    duration_s: float = 6.0
     keeps_ids: bool = False
     """Whether a restarted worker keeps its id, so that only the time of birth distinguishes its
     incarnations; its counters and its clock restart with each of them."""
-    back_s: float = 2.5
-    """Time until a worker that a task has crashed is up again."""
+    crash_downtime_s: float = 2.5
+    """Downtime of a worker that has been crashed by a task or has left."""
     preempts: bool = False
     """Whether urgent jobs preempt others, with the bounds on lost work nearly disabled."""
     plans_departures: bool = False
     """Whether runs are moved off workers that leave."""
-    asks_all: bool = False
+    enables_all_decisions: bool = False
     """Whether all decisions under load are enabled."""
 
 
--- a/tests/histories/clock.py
+++ b/tests/histories/clock.py
@@ -13,7 +13,7 @@
 
 EPOCH_S = 1_700_000_000.0
 """Unix time that corresponds to virtual time 0; fencing tokens need it to increase."""
-BEGIN_S = 1_000.0
+START_S = 1_000.0
 """Initial value of the monotonic clock. Not 0, which some code uses for "never"."""
 
 
@@ -21,7 +21,7 @@
     """The virtual clock, and scheduled events outside of all processes."""
 
     def __init__(self) -> None:
-        self.now = BEGIN_S
+        self.now = START_S
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
@@ -45,14 +45,14 @@
         """Return when the next event is due."""
         return self._events[0][0] if self._events else float("inf")
 
-    def play_due(self) -> None:
+    def run_due(self) -> None:
         """Run all events that are due."""
         while self._events and self._events[0][0] <= self.now:
             heapq.heappop(self._events)[2]()
 
 
-class SilentSelector(selectors.SelectSelector):
-    """Never waits and never reports events; data arrives through :meth:`ModelHost.take`."""
+class IdleSelector(selectors.SelectSelector):
+    """Never waits and never reports events; data arrives through :meth:`ModelHost.deliver`."""
 
     def select(self, timeout: float | None = None) -> list[Any]:
         """Return no events."""
@@ -63,20 +63,20 @@
     """An event loop that is run one turn at a time."""
 
     def __init__(self, *, timeline: Timeline) -> None:
-        super().__init__(SilentSelector())
+        super().__init__(IdleSelector())
         self._timeline = timeline
         self.connect: Callable[..., Any] | None = None
         """Opens a modelled connection to an address."""
         self.host: ModelHost | None = None
 
     @property
-    def lost_s(self) -> float:
+    def uncounted_s(self) -> float:
         """Total time that the host's monotonic clock has not counted."""
-        return 0.0 if self.host is None else self.host.lost_s
+        return 0.0 if self.host is None else self.host.uncounted_s
 
     def time(self) -> float:
         """Return the host's monotonic clock."""
-        return self._timeline.now - self.lost_s
+        return self._timeline.now - self.uncounted_s
 
     def get_next(self) -> float:
         """Return when this loop has to run next."""
@@ -86,7 +86,7 @@
             return float("inf")
         first = self._scheduled[0]
         # A cancelled timer needs a turn too, which removes it.
-        return self._timeline.now if first.cancelled() else first.when() + self.lost_s
+        return self._timeline.now if first.cancelled() else first.when() + self.uncounted_s
 
     def turn(self) -> None:
         """Run the ready callbacks and the due timers once."""
@@ -110,7 +110,7 @@
 
 
 class ModelHost:
-    """A process or a worker, up or down, which handles what arrives in order.
+    """A process or a worker, up or down, which handles arriving data in order.
 
     Without an event loop, arrivals are handled at once unless the host is paused.
     """
@@ -118,22 +118,22 @@
     def __init__(self, *, name: str, timeline: Timeline) -> None:
         self.name = name
         self.loop: ModelLoop | None = None
-        self.frozen_until = 0.0
-        self.lost_s = 0.0
+        self.paused_until = 0.0
+        self.uncounted_s = 0.0
         """Total time of suspensions, which its monotonic clock has not counted."""
         self.is_up = True
         self.process: Any = None
         self._timeline = timeline
         self._arrived: list[Callable[[], None]] = []
 
-    def take(self, call: Callable[[], None]) -> None:
-        """Run a call for something that has arrived, as soon as this process runs."""
+    def deliver(self, call: Callable[[], None]) -> None:
+        """Handle arriving data by a call, as soon as this process is running."""
         if not self.is_up:
             return
         if self.loop is not None:
             self._arrived.append(call)
-        elif self._timeline.now < self.frozen_until:
-            self._timeline.call_at(self.frozen_until, lambda: self.take(call))
+        elif self._timeline.now < self.paused_until:
+            self._timeline.call_at(self.paused_until, lambda: self.deliver(call))
         else:
             call()
 
@@ -143,7 +143,7 @@
             return float("inf")
         now = self._timeline.now
         wanted = now if self._arrived else self.loop.get_next()
-        return max(wanted, self.frozen_until, now)
+        return max(wanted, self.paused_until, now)
 
     def turn(self) -> None:
         """Run one turn; arrivals are handled before timers, as in any event loop."""
@@ -153,18 +153,18 @@
             self.loop.call_soon(call)
         self.loop.turn()
 
-    def begin(self, loop: ModelLoop) -> None:
+    def start(self, loop: ModelLoop) -> None:
         """Start a new incarnation with its own event loop."""
         self.loop = loop
         self.is_up = True
-        self.frozen_until = 0.0
+        self.paused_until = 0.0
         self._arrived = []
 
     def suspend(self, for_s: float) -> None:
         """Pause for a time that the monotonic clock does not count."""
         until = self._timeline.now + for_s
-        self.lost_s += max(0.0, until - max(self.frozen_until, self._timeline.now))
-        self.frozen_until = max(self.frozen_until, until)
+        self.uncounted_s += max(0.0, until - max(self.paused_until, self._timeline.now))
+        self.paused_until = max(self.paused_until, until)
 
     def end(self) -> None:
         """End at once, as if killed."""
--- a/tests/histories/draw.py
+++ b/tests/histories/draw.py
@@ -30,7 +30,7 @@
     "draw_departure_history",
     "draw_history",
     "draw_load_history",
-    "draw_news_history",
+    "draw_restart_history",
     "draw_preemption_history",
     "draw_suspended_history",
     "play",
@@ -44,9 +44,9 @@
 and longer."""
 LATE_S = ((0.01, 0.1), (0.1, 0.6), (0.6, 2.0))
 """Ranges of delays of calls and answers; the platform permits up to seconds."""
-NEAR_S = ((0.0, 0.01), (0.0, 0.1), (-0.2, 0.5))
+OFFSET_S = ((0.0, 0.01), (0.0, 0.1), (-0.2, 0.5))
 """Ranges of the offset of a fault from another event."""
-STEPS_S = (0.0, 0.45, 0.9, 1.17, 1.3)
+REACTION_DELAYS_S = (0.0, 0.45, 0.9, 1.17, 1.3)
 """Delays after which the system reacts to a fault: timeout, loss of runs, resubmission."""
 CALL_EFFECTS = {
     "start": tuple(CallEffect),
@@ -62,31 +62,31 @@
 """Long enough for a slow clock to fall behind by the duration of a lease."""
 SLOW_RATE = 0.98
 """Lowest relative speed of a worker's clock that the platform permits."""
-LONGEST_S = 6.0
+DURATION_S = 6.0
 AGENTS = ("agent-0", "agent-1")
-OUTLASTING_S = 9.0
+LONG_RUN_S = 9.0
 """Run time that is longer than every cut."""
 STOPS_LOST_SHARE = 0.3
 """Share of the histories with cuts between entries in which stops are lost."""
-HEARD_SHARE = 0.25
+NOTICED_SHARE = 0.25
 """Share of the hang-ups in these histories that the entry notices."""
 SUSPENDED_SHARE = 0.5
 """Share of the histories in which another host is suspended besides those of frozen processes."""
 SUSPENDED_S = (0.3, 0.6, 1.0, 1.4, 2.5)
-AWAY_S = (0.004, 0.03, 0.4, 2.5)
+DOWNTIME_S = (0.004, 0.03, 0.4, 2.5)
 """Downtimes of a restarting worker: from less than the duration of a poll up to the platform's."""
 NOTICE_S = ((0.05, 0.4), (1.0, 2.5), (1.0, 2.5))
 """Ranges of the notice before a worker leaves: less than a stop and its answer may take, and about
 what platforms give."""
 STAYS_S = (0.0, 0.0, 0.03, 0.5, 4.0)
 """How long a worker stays after its notice has run out."""
-TAKEN_BACK_SHARE = 0.15
+WITHDRAWN_SHARE = 0.15
 CRASHING_SHARE = 0.4
 LONG_AT_S = 0.3
 """Arrival of the long jobs that fill the workers in a history with preemption."""
 SECOND_LONG_JOB = 2
 """Index of the second long job in a history with preemption."""
-ROOMY_SHARE = 0.4
+FREE_CAPACITY_SHARE = 0.4
 """Share of the load histories that leave free capacity for moves."""
 PAIR_SHARE = 0.3
 """Share of call faults after which the next call fails in another way."""
@@ -113,16 +113,16 @@
         jobs=jobs,
         faults=(),
         entries=rng.choice((1, 1, 1, 2)),
-        rates=tuple(rng.choice((1.0, 1.0, SLOW_RATE)) for _ in range(2)),
+        clock_rates=tuple(rng.choice((1.0, 1.0, SLOW_RATE)) for _ in range(2)),
         cpu=rng.choice((2000, 4000)),
         idle_s=rng.choice((1.0,) * 7 + (IDLE_S,)),
-        lasts_s=LONGEST_S,
+        duration_s=DURATION_S,
     )
     moments = [job.at_s for job in jobs]
     faults: list[Fault] = []
     for _ in range(rng.choice((1, 2, 2, 3, 3, 4, 4))):
-        at_s = rng.choice(moments) + rng.choice(STEPS_S) * rng.randint(0, 1)
-        at_s = min(max(at_s + _draw(rng, NEAR_S), -0.2), 4.0)
+        at_s = rng.choice(moments) + rng.choice(REACTION_DELAYS_S) * rng.randint(0, 1)
+        at_s = min(max(at_s + _draw(rng, OFFSET_S), -0.2), 4.0)
         moments.append(at_s)
         fault = _draw_fault(rng, history, at_s)
         faults.append(fault)
@@ -138,7 +138,7 @@
     jobs = tuple(
         JobPlan(
             at_s=0.0 if number == 0 else rng.uniform(0.0, 1.5),
-            run_s=tuple(rng.choice((0.3, 2.0, OUTLASTING_S)) for _ in range(rng.randint(1, 3))),
+            run_s=tuple(rng.choice((0.3, 2.0, LONG_RUN_S)) for _ in range(rng.randint(1, 3))),
             entry=rng.randrange(len(entries)),
         )
         for number in range(rng.choice((1, 1, 2)))
@@ -153,17 +153,19 @@
         faults.append(_draw_process_fault(rng, entries))
     if rng.random() < STOPS_LOST_SHARE:
         worker = f"worker-{rng.randrange(2)}"
-        effect, most = CallEffect.LOST, rng.choice((1, 2, 1000))
+        effect, max_calls = CallEffect.LOST, rng.choice((1, 2, 1000))
         faults.append(
-            CallFault(worker=worker, kind="stop", effect=effect, at_s=0.0, for_s=5.0, most=most)
+            CallFault(
+                worker=worker, kind="stop", effect=effect, at_s=0.0, for_s=5.0, max_calls=max_calls
+            )
         )
     for number, job in enumerate(jobs):
         for _ in range(rng.choice((1, 1, 2))):
             at_s = job.at_s + rng.uniform(0.02, 3.0)
-            is_heard = rng.random() < HEARD_SHARE
-            faults.append(HangUp(job=number, at_s=at_s, is_heard=is_heard))
+            is_noticed = rng.random() < NOTICED_SHARE
+            faults.append(HangUp(job=number, at_s=at_s, is_noticed=is_noticed))
     return History(
-        seed=seed, jobs=jobs, faults=tuple(faults), entries=len(entries), lasts_s=OUTLASTING_S
+        seed=seed, jobs=jobs, faults=tuple(faults), entries=len(entries), duration_s=LONG_RUN_S
     )
 
 
@@ -192,7 +194,7 @@
     return replace(history, faults=tuple(faults))
 
 
-def draw_news_history(seed: int) -> History:
+def draw_restart_history(seed: int) -> History:
     """Return a drawn history with suspended hosts and workers that restart under their ids.
 
     Workers are also resized, and crashed by some tasks.
@@ -202,8 +204,8 @@
     faults = list(history.faults)
     for _ in range(rng.choice((1, 1, 2, 3))):
         worker = f"worker-{rng.randrange(2)}"
-        at_s, away_s = rng.uniform(0.0, 3.0), rng.choice(AWAY_S)
-        faults.append(Kill(process=worker, at_s=at_s, for_s=away_s))
+        at_s, downtime_s = rng.uniform(0.0, 3.0), rng.choice(DOWNTIME_S)
+        faults.append(Kill(process=worker, at_s=at_s, for_s=downtime_s))
     for _ in range(rng.choice((0, 1, 2, 4))):
         worker = f"worker-{rng.randrange(2)}"
         cpu = rng.choice((0, 1000, 2000, 3000, 6000))
@@ -219,8 +221,8 @@
         jobs=jobs,
         faults=tuple(faults),
         keeps_ids=True,
-        back_s=rng.choice(AWAY_S),
-        lasts_s=OUTLASTING_S,
+        crash_downtime_s=rng.choice(DOWNTIME_S),
+        duration_s=LONG_RUN_S,
     )
 
 
@@ -230,8 +232,8 @@
     Its faults are those of another drawn history, moved to the time of the stops, and some more.
     """
     rng = random.Random(f"preemption {seed}")
-    drawn = (draw_history, draw_cut_history, draw_news_history)[seed % 3](seed)
-    faults = [_move(fault, rng) for fault in drawn.faults if not isinstance(fault, HangUp)]
+    drawn = (draw_history, draw_cut_history, draw_restart_history)[seed % 3](seed)
+    faults = [_move_to_stops(fault, rng) for fault in drawn.faults if not isinstance(fault, HangUp)]
     slots = 2 * drawn.cpu // 1000
     urgent_at_s = [LONG_AT_S + rng.uniform(0.1, 0.9) for _ in range(rng.randint(1, 4))]
     jobs = [
@@ -260,11 +262,11 @@
         replace(f, job=rng.randrange(len(jobs))) if isinstance(f, HangUp) else f for f in faults
     ]
     return replace(
-        drawn, jobs=tuple(jobs), faults=tuple(faults), preempts=True, lasts_s=OUTLASTING_S
+        drawn, jobs=tuple(jobs), faults=tuple(faults), preempts=True, duration_s=LONG_RUN_S
     )
 
 
-def _move(fault: Fault, rng: random.Random) -> Fault:
+def _move_to_stops(fault: Fault, rng: random.Random) -> Fault:
     """Return a copy of a fault that occurs around the time when runs are stopped."""
     return replace(fault, at_s=LONG_AT_S + rng.uniform(0.0, 1.5))
 
@@ -272,10 +274,10 @@
 def draw_departure_history(seed: int) -> History:
     """Return a drawn history in which one or both workers leave with notice.
 
-    The other faults are those of :func:`draw_news_history` or :func:`draw_history`.
+    The other faults are those of :func:`draw_restart_history` or :func:`draw_history`.
     """
     rng = random.Random(f"departures {seed}")
-    history = draw_news_history(seed) if seed % 2 else draw_history(seed)
+    history = draw_restart_history(seed) if seed % 2 else draw_history(seed)
     faults = list(history.faults)
     for _ in range(rng.choice((1, 1, 2, 3))):
         leave = Leave(
@@ -283,10 +285,10 @@
             at_s=round(rng.uniform(0.0, 3.0), 3),
             notice_s=_draw(rng, NOTICE_S),
             stays_s=rng.choice(STAYS_S),
-            is_taken_back=rng.random() < TAKEN_BACK_SHARE,
+            is_withdrawn=rng.random() < WITHDRAWN_SHARE,
         )
         faults.append(leave)
-    return replace(history, faults=tuple(faults), plans_departures=True, lasts_s=OUTLASTING_S)
+    return replace(history, faults=tuple(faults), plans_departures=True, duration_s=LONG_RUN_S)
 
 
 def draw_load_history(seed: int) -> History:
@@ -296,7 +298,7 @@
     """
     rng = random.Random(f"load {seed}")
     history = draw_preemption_history(seed)
-    if rng.random() < ROOMY_SHARE:
+    if rng.random() < FREE_CAPACITY_SHARE:
         history = _drop_job(history, SECOND_LONG_JOB)
     faults = list(history.faults)
     for _ in range(rng.choice((1, 1, 2))):
@@ -305,14 +307,14 @@
             at_s=round(LONG_AT_S + rng.uniform(0.05, 1.2), 3),
             notice_s=_draw(rng, NOTICE_S),
             stays_s=rng.choice(STAYS_S),
-            is_taken_back=rng.random() < TAKEN_BACK_SHARE,
+            is_withdrawn=rng.random() < WITHDRAWN_SHARE,
         )
         faults.append(leave)
     for _ in range(rng.choice((0, 0, 1))):
         at_s = LONG_AT_S + rng.uniform(0.1, 1.5)
         job = rng.randrange(len(history.jobs))
-        faults.append(HangUp(job=job, at_s=at_s, is_heard=rng.random() < HEARD_SHARE))
-    return replace(history, faults=tuple(faults), plans_departures=True, asks_all=True)
+        faults.append(HangUp(job=job, at_s=at_s, is_noticed=rng.random() < NOTICED_SHARE))
+    return replace(history, faults=tuple(faults), plans_departures=True, enables_all_decisions=True)
 
 
 def shrink(history: History) -> History:
@@ -345,10 +347,10 @@
         yield replace(history, entries=1)
     if history.idle_s > 1.0:
         yield replace(history, idle_s=1.0)
-    for number, rate in enumerate(history.rates):
+    for number, rate in enumerate(history.clock_rates):
         if rate != 1.0:
-            rates = (*history.rates[:number], 1.0, *history.rates[number + 1 :])
-            yield replace(history, rates=rates)
+            clock_rates = (*history.clock_rates[:number], 1.0, *history.clock_rates[number + 1 :])
+            yield replace(history, clock_rates=clock_rates)
 
 
 def _draw_cut(
@@ -400,7 +402,7 @@
 
 
 def _draw_fault(rng: random.Random, history: History, at_s: float) -> Fault:
-    worker = rng.randrange(len(history.rates))
+    worker = rng.randrange(len(history.clock_rates))
     agent, entry = f"agent-{worker}", f"entry-{rng.randrange(history.entries)}"
     kinds = ("call",) * 6 + ("freeze",) * 4 + ("cut",) * 3 + ("hang up",) * 3
     kind = rng.choice((*kinds, "drop", "drop", "silence", "kill", "kill"))
@@ -426,7 +428,7 @@
             )
         case "hang up":
             job = rng.randrange(len(history.jobs))
-            return HangUp(job=job, at_s=at_s, is_heard=rng.random() < 0.8)
+            return HangUp(job=job, at_s=at_s, is_noticed=rng.random() < 0.8)
         case "drop":
             return Drop(first=entry, second=agent, at_s=at_s)
         case "silence":
@@ -447,7 +449,7 @@
         at_s=at_s,
         for_s=for_s,
         delay_s=_draw(rng, LATE_S) if is_late else 0.0,
-        most=rng.choice((1, 1, 2, 3, 1000)),
+        max_calls=rng.choice((1, 1, 2, 3, 1000)),
     )
 
 
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -48,36 +48,36 @@
 )
 from tests.histories.clock import ModelHost, ModelLoop, Timeline
 from tests.histories.network import End, Network, open_socket
-from tests.histories.worker import DATA_CENTRE, ModelWorker, StartedRun, TaskText
+from tests.histories.worker import DATA_CENTRE, ModelWorker, StartedRun, TaskSpec
 
 __all__ = ["ModelFleet"]
 
-LEAST_ENDS = 2
+MIN_ENDS = 2
 """Workers that must have ended while running a task before its job may fail; a platform rule."""
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 TOO_MANY_STARTS = 3
-"""Starts of a task after its first :data:`MOST_CRASHES` crashes that violate a platform rule."""
-BEAT_S = 1.5
+"""Starts of a task after its first :data:`MAX_CRASHES` crashes that violate a platform rule."""
+REPORT_INTERVAL_S = 1.5
 """Interval of a worker's reports on the platform."""
-RESEND_S = 1.3
+RESUBMIT_DELAY_S = 1.3
 """Delay after which a caller on the platform resubmits after a lost connection or a 502."""
-REFUSED_S = 0.05
+RETRY_DELAY_S = 0.05
 """Delay after which a caller whose entry is down tries another one."""
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 BACKENDS = BackendSettings(
     store="tests.histories.backends.ModelStore",
     ingress="tests.histories.backends.ModelIngress",
     registration="tests.histories.backends.ModelRegistration",
 )
-ANYWHERE = ListenerSettings(address="127.0.0.1:0")
-FREE_PREEMPTION = {
+ANY_ADDRESS = ListenerSettings(address="127.0.0.1:0")
+LOOSE_PREEMPTION_BOUNDS = {
     "dalemast.core.supervision.preemption.LOST_SHARE": 50.0,
     "dalemast.core.supervision.preemption.KEPT_SHARE": 0.0,
 }
 """Bounds so loose that two workers may preempt one run after another."""
 FURTHER_DECISIONS = ("shares_demand", "forecasts", "learns_speeds", "balances")
-"""Decisions under load that :attr:`History.asks_all` enables."""
-HIDDEN_LINES = frozenset({"process:started", "configuration:in-force", "job:ended"})
+"""Decisions under load that :attr:`History.enables_all_decisions` enables."""
+HIDDEN_EVENTS = frozenset({"process:started", "configuration:in-force", "job:ended"})
 
 
 class ModelCaller:
@@ -95,7 +95,7 @@
     def make_request(self) -> JobRequest:
         """Return the request for the current submission."""
         plan = self.plan
-        text = TaskText(
+        text = TaskSpec(
             run_s=plan.run_s, cpu=plan.cpu, submission=self.submission, crash_s=plan.crash_s
         )
         step = StepRequest(
@@ -108,7 +108,7 @@
             queue=QUEUES[plan.priority],
             payload=msgspec.json.encode(text).decode(),
             steps=(step,),
-            timeout_s=PATIENCE_S,
+            timeout_s=TIMEOUT_S,
         )
 
 
@@ -120,13 +120,13 @@
         self._load = LoadSettings(
             preempts=history.preempts,
             plans_departures=history.plans_departures,
-            **dict.fromkeys(FURTHER_DECISIONS, history.asks_all),
+            **dict.fromkeys(FURTHER_DECISIONS, history.enables_all_decisions),
         )
         self._timeline = Timeline()
         self._rng = random.Random(history.seed)
         self._network = Network(timeline=self._timeline, rng=self._rng)
         self._outcome = Outcome()
-        self._zero = self._timeline.now + history.idle_s
+        self._start_at = self._timeline.now + history.idle_s
         self._hosts: dict[str, ModelHost] = {}
         self._makers: dict[str, Callable[[], Any]] = {}
         self._accepts: dict[str, Callable[[Any], Any]] = {}
@@ -158,7 +158,7 @@
         with self.patch():
             try:
                 self._build()
-                self._run_until(self._zero + self._history.lasts_s)
+                self._run_until(self._start_at + self._history.duration_s)
                 self._check_answers()
             finally:
                 self._close()
@@ -179,9 +179,9 @@
                 "dalemast.fleet.process.MetricsListener": mock.MagicMock(),
                 "dalemast.fleet.entry.process.make_incarnation": self._make_name,
                 "dalemast.fleet.agent.process.make_incarnation": self._make_name,
-                "dalemast.observability.logs._State.output": self._take_line,
+                "dalemast.observability.logs._State.output": self._handle_log_line,
                 "dalemast.observability.logs._State.level": 3,
-                **(FREE_PREEMPTION if self._history.preempts else {}),
+                **(LOOSE_PREEMPTION_BOUNDS if self._history.preempts else {}),
             }.items():
                 stack.enter_context(mock.patch(target, value))
             try:
@@ -192,25 +192,25 @@
     def _get_steady_clock(self) -> float:
         """Return the monotonic clock of the host whose turn is running."""
         host = self._hosts.get(self._running)
-        return self._timeline.now - (0.0 if host is None else host.lost_s)
+        return self._timeline.now - (0.0 if host is None else host.uncounted_s)
 
     def _build(self) -> None:
         entries = [f"entry-{number}" for number in range(self._history.entries)]
         addresses = {name: f"10.0.0.{number}:1" for number, name in enumerate(entries, start=1)}
         for name, address in addresses.items():
             self._makers[name] = self._make_entry_maker(name, address, tuple(addresses.values()))
-        for number, rate in enumerate(self._history.rates):
+        for number, rate in enumerate(self._history.clock_rates):
             self._add_worker(number, rate, tuple(addresses.values()))
         for name in self._makers:
             self._hosts[name] = ModelHost(name=name, timeline=self._timeline)
-            self._begin(name)
+            self._start_process(name)
         for number, caller in enumerate(self._callers):
             entry = entries[caller.plan.entry % len(entries)]
-            at = self._zero + caller.plan.at_s
+            at = self._start_at + caller.plan.at_s
             self._timeline.call_at(at, lambda c=caller, e=entry: self._submit(c, e))
             del number
         for fault in self._history.faults:
-            self._plan(fault)
+            self._schedule_fault(fault)
 
     def _make_entry_maker(
         self, name: str, address: str, seeds: tuple[str, ...]
@@ -218,10 +218,10 @@
         settings = FleetEntrySettings(
             name=name,
             data_centre=DATA_CENTRE,
-            callers=ANYWHERE,
-            readiness=ANYWHERE,
+            callers=ANY_ADDRESS,
+            readiness=ANY_ADDRESS,
             links=ListenerSettings(address=address),
-            metrics=ANYWHERE,
+            metrics=ANY_ADDRESS,
             store=AddressSettings(address="10.0.1.1:1"),
             seeds=seeds,
             backends=BACKENDS,
@@ -240,13 +240,13 @@
             timeline=self._timeline,
             rng=self._rng,
             faults=[
-                _shift(f, self._zero)
+                _shift(f, self._start_at)
                 for f in self._history.faults
                 if isinstance(f, CallFault) and f.worker == name
             ],
             on_start=self._check_start,
             on_crash=self._crash,
-            on_overload=self._break,
+            on_overload=self._add_violation,
             note=self._note,
         )
         self._workers.append(worker)
@@ -254,9 +254,9 @@
         settings = FleetAgentSettings(
             name=agent,
             data_centre=DATA_CENTRE,
-            registration=ANYWHERE,
+            registration=ANY_ADDRESS,
             worker=AddressSettings(address=address),
-            metrics=ANYWHERE,
+            metrics=ANY_ADDRESS,
             store=AddressSettings(address="10.0.1.1:1"),
             seeds=seeds,
             backends=BACKENDS,
@@ -269,23 +269,23 @@
         """Let a worker report to its agent now and at regular intervals."""
         if worker.host.is_up:
             self._report_once(worker)
-        self._timeline.call_later(BEAT_S, lambda: self._report(worker))
+        self._timeline.call_later(REPORT_INTERVAL_S, lambda: self._report(worker))
 
     def _report_once(self, worker: ModelWorker) -> None:
-        agent, life = worker.name.replace("worker", "agent"), worker.life
-        self._hosts[agent].take(
-            lambda: ModelRegistration.observers[agent].register_incarnation(life)
+        agent, incarnation = worker.name.replace("worker", "agent"), worker.incarnation
+        self._hosts[agent].deliver(
+            lambda: ModelRegistration.observers[agent].register_incarnation(incarnation)
         )
 
-    def _begin(self, name: str) -> None:
+    def _start_process(self, name: str) -> None:
         """Start an incarnation of a process."""
         host = self._hosts[name]
         loop = ModelLoop(timeline=self._timeline)
         loop.connect = lambda address: self._network.connect(host, address)
         loop.host = host
-        loop.set_exception_handler(lambda _, context: self._take_error(name, context))
+        loop.set_exception_handler(lambda _, context: self._handle_loop_error(name, context))
         self._loops.append(loop)
-        host.begin(loop)
+        host.start(loop)
 
         async def run() -> None:
             host.process = self._makers[name]()
@@ -305,25 +305,25 @@
                 return
             timeline.now = max(timeline.now, at)
             if timeline.get_next() <= timeline.now:
-                timeline.play_due()
+                timeline.run_due()
                 continue
             for when, host in wanted:
                 if when <= timeline.now:
                     self._running = host.name
                     host.turn()
 
-    def _plan(self, fault: Fault) -> None:
+    def _schedule_fault(self, fault: Fault) -> None:
         if isinstance(fault, CallFault):
             return
-        self._timeline.call_at(self._zero + fault.at_s, lambda: self._do(fault))
+        self._timeline.call_at(self._start_at + fault.at_s, lambda: self._apply_fault(fault))
 
-    def _do(self, fault: Fault) -> None:
+    def _apply_fault(self, fault: Fault) -> None:
         self._note("fault", repr(fault))
         now = self._timeline.now
         match fault:
             case Freeze():
                 host = self._get_host(fault.process)
-                host.frozen_until = max(host.frozen_until, now + fault.for_s)
+                host.paused_until = max(host.paused_until, now + fault.for_s)
             case Suspend():
                 self._get_host(fault.process).suspend(fault.for_s)
             case Kill():
@@ -353,7 +353,7 @@
             return
         host.end()
         self._network.end_host(host)
-        self._timeline.call_later(fault.for_s, lambda: self._begin(fault.process))
+        self._timeline.call_later(fault.for_s, lambda: self._start_process(fault.process))
         for caller in self._callers:
             if caller.entry == fault.process and not caller.is_over and caller.submission:
                 self._submit_later(caller)
@@ -374,12 +374,12 @@
         """Let a worker end, or withdraw its notice, if the notice is still valid."""
         if worker.leaves_at != leaves_at:
             return
-        self._note(worker.name, "withdraws its notice" if fault.is_taken_back else "leaves")
-        if fault.is_taken_back:
+        self._note(worker.name, "withdraws its notice" if fault.is_withdrawn else "leaves")
+        if fault.is_withdrawn:
             worker.leaves_at = None
             self._report_once(worker)
         else:
-            self._end_worker(worker, for_s=self._history.back_s)
+            self._end_worker(worker, for_s=self._history.crash_downtime_s)
 
     def _get_host(self, name: str) -> ModelHost:
         return next((w.host for w in self._workers if w.name == name), None) or self._hosts[name]
@@ -392,15 +392,15 @@
         self._outcome.crashes += 1
         for crashing in set(worker.get_active()) & self._crashing:
             self._crashes[crashing] += 1
-        self._end_worker(worker, for_s=self._history.back_s)
+        self._end_worker(worker, for_s=self._history.crash_downtime_s)
 
     def _end_worker(self, worker: ModelWorker, *, for_s: float) -> None:
         self._ends.update(worker.get_active().keys())
         worker.crash()
         self._network.end_host(worker.host)
-        self._timeline.call_later(for_s, lambda: self._revive(worker))
+        self._timeline.call_later(for_s, lambda: self._restart_worker(worker))
 
-    def _revive(self, worker: ModelWorker) -> None:
+    def _restart_worker(self, worker: ModelWorker) -> None:
         worker.host.is_up = True
         self._report_once(worker)
 
@@ -409,7 +409,9 @@
     def _submit(self, caller: ModelCaller, entry: str) -> None:
         host = self._hosts[entry]
         if not host.is_up:
-            self._timeline.call_later(REFUSED_S, lambda: self._submit(caller, self._draw_entry()))
+            self._timeline.call_later(
+                RETRY_DELAY_S, lambda: self._submit(caller, self._draw_entry())
+            )
             return
         caller.submission += 1
         caller.entry = entry
@@ -421,7 +423,7 @@
             task = host.loop.create_task(host.process.run(request))
             task.add_done_callback(lambda done: self._answer(caller, submission, done))
 
-        host.take(arrive)
+        host.deliver(arrive)
 
     def _answer(self, caller: ModelCaller, submission: int, task: asyncio.Task[Any]) -> None:
         if task.cancelled():
@@ -451,9 +453,9 @@
         if caller.is_over or not caller.submission:
             return
         host = self._hosts[caller.entry]
-        if fault.is_heard and host.is_up:
+        if fault.is_noticed and host.is_up:
             # In a later turn, since the handler of a submission that arrived before starts first.
-            host.take(lambda: host.loop.call_soon(host.process.leave, caller.job_id))
+            host.deliver(lambda: host.loop.call_soon(host.process.leave, caller.job_id))
         self._submit_later(caller)
 
     def _submit_later(self, caller: ModelCaller) -> None:
@@ -465,7 +467,7 @@
             if caller.submission == mark and not caller.is_over:
                 self._submit(caller, self._draw_entry())
 
-        self._timeline.call_later(RESEND_S, submit)
+        self._timeline.call_later(RESUBMIT_DELAY_S, submit)
 
     def _draw_entry(self) -> str:
         return f"entry-{self._rng.randrange(self._history.entries)}"
@@ -479,30 +481,34 @@
             if worker.name == started.worker:
                 run = started.earlier_run
             if run is not None:
-                self._break(
+                self._add_violation(
                     f"run {started.run} of {started.task} begins on {started.worker} while run "
                     f"{run} goes on on {worker.name}"
                 )
         self._check_crashes(started.task)
         caller = next(c for c in self._callers if started.task.startswith(c.job_id))
         if started.submission in caller.refused:
-            self._break(f"run {started.run} of {started.task} begins after its job was refused")
+            self._add_violation(
+                f"run {started.run} of {started.task} begins after its job was refused"
+            )
 
     def _check_crashes(self, task: str) -> None:
         """Count a start of a task that has already crashed too many workers."""
-        if self._crashes[task] < MOST_CRASHES:
+        if self._crashes[task] < MAX_CRASHES:
             return
         self._late_starts[task] += 1
         late = self._late_starts[task]
         self._outcome.late_starts = max(self._outcome.late_starts, late)
         if late >= TOO_MANY_STARTS:
-            self._break(f"{task} is started {late} times more after {MOST_CRASHES} crashes")
+            self._add_violation(f"{task} is started {late} times more after {MAX_CRASHES} crashes")
 
     def _check_done(self, caller: ModelCaller) -> None:
         done = {task for worker in self._workers for task in worker.done}
         for position in range(len(caller.plan.run_s)):
             if f"{caller.job_id}.0.0.{position}" not in done:
-                self._break(f"{caller.job_id} is answered as done without its task {position}")
+                self._add_violation(
+                    f"{caller.job_id} is answered as done without its task {position}"
+                )
 
     def _check_given_up(self, caller: ModelCaller) -> None:
         """Check that workers ended while running a failed job; runs never fail otherwise."""
@@ -510,36 +516,38 @@
             self._ends[f"{caller.job_id}.0.0.{position}"]
             for position in range(len(caller.plan.run_s))
         )
-        if ends < LEAST_ENDS:
-            self._break(f"{caller.job_id} failed after only {ends} workers ended under its tasks")
+        if ends < MIN_ENDS:
+            self._add_violation(
+                f"{caller.job_id} failed after only {ends} workers ended under its tasks"
+            )
 
     def _check_answers(self) -> None:
         for caller in self._callers:
             if not caller.is_over:
                 self._outcome.answers.append("none")
 
-    def _break(self, what: str) -> None:
+    def _add_violation(self, what: str) -> None:
         self._note("broken", what)
         self._outcome.broken.append(what)
 
     # Trace and logs.
 
     def _note(self, who: str, what: str) -> None:
-        at_s = self._timeline.now - self._zero
+        at_s = self._timeline.now - self._start_at
         self._outcome.trace.append(f"{at_s:8.4f} {who:9} {what}")
 
-    def _take_line(self, line: dict[str, Any]) -> None:
+    def _handle_log_line(self, line: dict[str, Any]) -> None:
         event = line["message_type"]
         if event == "run:preempted":
             self._note_preempted(line["job"], line["position"])
         self._outcome.moves += event == "run:moved"
-        if event in HIDDEN_LINES:
+        if event in HIDDEN_EVENTS:
             return
         hidden = ("task_uuid", "task_level", "timestamp", "message_type", "process")
         fields = " ".join(f"{key}={value}" for key, value in line.items() if key not in hidden)
         self._note(self._running, f"{event} {fields}")
         if event == "link:fault":
-            self._break(f"a fault in {self._running}: {fields}")
+            self._add_violation(f"a fault in {self._running}: {fields}")
 
     def _note_preempted(self, job_id: str, position: int) -> None:
         """Count a preemption; a task may be preempted only once under its first submission."""
@@ -550,11 +558,11 @@
             return
         self._preempted[task] += 1
         if self._preempted[task] > 1:
-            self._break(f"{task} is preempted a second time")
+            self._add_violation(f"{task} is preempted a second time")
 
-    def _take_error(self, name: str, context: dict[str, Any]) -> None:
+    def _handle_loop_error(self, name: str, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        self._break(f"a fault in {name}: {context['message']} {error!r}")
+        self._add_violation(f"a fault in {name}: {context['message']} {error!r}")
 
     # Replacements of parts of the product.
 
@@ -579,19 +587,19 @@
         end = await loop.connect(address)
         opened: asyncio.Future[None] = loop.create_future()
 
-        def serve(far: End) -> None:
+        def serve(remote: End) -> None:
             listener = self._accepts[address](SimpleNamespace(path=f"/{path}".encode()))
             if listener is None:
-                far.abort()
+                remote.abort()
                 return
-            far.write(begin)
-            open_socket(far, listener)
+            remote.write(begin)
+            open_socket(remote, listener)
 
-        def begin(near: End) -> None:
+        def begin(local: End) -> None:
             if opened.done():
-                near.abort()
+                local.abort()
                 return
-            open_socket(near, factory())
+            open_socket(local, factory())
             opened.set_result(None)
 
         def lose() -> None:
@@ -627,5 +635,5 @@
         at_s=zero + fault.at_s,
         for_s=fault.for_s,
         delay_s=fault.delay_s,
-        most=fault.most,
+        max_calls=fault.max_calls,
     )
--- a/tests/histories/network.py
+++ b/tests/histories/network.py
@@ -76,18 +76,18 @@
         """Return a socket that takes any option."""
         return SOCKET
 
-    def take(self, item: Any) -> None:
+    def deliver(self, item: Any) -> None:
         """Handle an item in the host's turn; None is the end of the connection."""
         if self.is_closed:
             return
         if item is None:
-            self.break_off()
+            self.handle_close()
         elif callable(item):
             item(self)
         else:
             self._receive(item)
 
-    def break_off(self) -> None:
+    def handle_close(self) -> None:
         """End the connection after the other side or the kernel has ended it."""
         if not self.is_closed:
             self.is_closed = True
@@ -96,7 +96,7 @@
     def _end_here(self) -> None:
         self.is_closed = True
         lose = self._lose
-        self.host.take(lambda: lose())
+        self.host.deliver(lambda: lose())
 
 
 class Network:
@@ -123,7 +123,7 @@
 
         def arrive() -> None:
             if listener is None or not listener[0].is_up:
-                host.take(lambda: _fail(opened))
+                host.deliver(lambda: _fail(opened))
                 return
             if not self._is_open(host.name, listener[0].name):
                 return
@@ -134,7 +134,7 @@
             self._timeline.call_later(self._draw_latency(), lambda: finish(end))
 
         def finish(end: End) -> None:
-            host.take(lambda: end.abort() if opened.done() else opened.set_result(end))
+            host.deliver(lambda: end.abort() if opened.done() else opened.set_result(end))
 
         self._timeline.call_later(self._draw_latency(), arrive)
         return await opened
@@ -173,7 +173,7 @@
         for end in self._ends:
             if {end.host.name, end.peer.host.name} == {first, second} and not end.is_closed:
                 end.held.clear()
-                end.host.take(end.break_off)
+                end.host.deliver(end.handle_close)
 
     def end_host(self, host: ModelHost) -> None:
         """Reset the open connections of a process that has ended."""
@@ -183,11 +183,11 @@
                 self.reset(end)
 
     def _make_pair(self, host: ModelHost, other: ModelHost) -> End:
-        near, far = End(network=self, host=host), End(network=self, host=other)
-        near.peer, far.peer = far, near
+        local, remote = End(network=self, host=host), End(network=self, host=other)
+        local.peer, remote.peer = remote, local
         self._ends = [end for end in self._ends if not (end.is_closed and end.peer.is_closed)]
-        self._ends += [near, far]
-        return near
+        self._ends += [local, remote]
+        return local
 
     def _send(self, end: End, item: Any, at: float) -> None:
         end.next_at = max(end.next_at, at + self._draw_latency())
@@ -196,7 +196,7 @@
     def _arrive(self, end: End, item: Any) -> None:
         peer = end.peer
         if not peer.is_closed:
-            peer.host.take(lambda: peer.take(item))
+            peer.host.deliver(lambda: peer.deliver(item))
         elif item is not None and not end.is_closed:
             # The peer's kernel answers data on an unknown connection with a reset.
             self._send(peer, None, self._timeline.now)
@@ -219,13 +219,13 @@
     def _give_up(self, end: End, entry: tuple[float, Any]) -> None:
         if any(held is entry for held in end.held):
             end.held.clear()
-            end.host.take(end.break_off)
+            end.host.deliver(end.handle_close)
 
     def _probe(self, end: End) -> None:
         if end.is_closed:
             return
         if end.is_silent or self._is_open(end.peer.host.name, end.host.name):
-            end.host.take(end.break_off)
+            end.host.deliver(end.handle_close)
         else:
             self._timeline.call_later(PROBED_S[0], lambda: self._probe(end))
 
--- a/tests/histories/test_crashing_tasks.py
+++ b/tests/histories/test_crashing_tasks.py
@@ -18,7 +18,7 @@
 SOUND_S = 0.4
 CRASHING = JobPlan(at_s=0.0, run_s=(1.0,), crash_s=(AT_ONCE_S,))
 LASTS_S = 12.0
-LEAST_SHARE = 0.95
+MIN_SHARE = 0.95
 """Minimum share of the sound jobs that succeed."""
 
 
@@ -50,8 +50,8 @@
                 jobs=(*crashing_now, *sound),
                 faults=faults,
                 entries=entries,
-                rates=(1.0,) * workers,
-                lasts_s=LASTS_S,
+                clock_rates=(1.0,) * workers,
+                duration_s=LASTS_S,
             )
             for seed in range(PLAYS // 2):
                 outcome = play(replace(drawn, seed=seed))
@@ -72,39 +72,39 @@
     return replace(job, crash_s=tuple(at if at is None else crash_s for at in job.crash_s))
 
 
-class CalmTests(CrashTestCase):
+class WithoutOtherFaultsTests(CrashTestCase):
     """Without other faults, sound jobs must succeed beside crashing tasks."""
 
     def test_a_job_of_one_task(self) -> None:
-        self.assertGreaterEqual(self.play_all(entries=1), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(entries=1), MIN_SHARE)
 
     def test_a_job_of_one_task_beside_another_entry(self) -> None:
-        self.assertGreaterEqual(self.play_all(), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(), MIN_SHARE)
 
     def test_one_task_of_four(self) -> None:
         job = JobPlan(at_s=0.0, run_s=(1.0,) * 4, crash_s=(None, AT_ONCE_S, None, None))
-        self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(job,)), MIN_SHARE)
 
     def test_all_tasks_of_a_job(self) -> None:
         """All tasks crash their first workers together; no burst of restarts must follow."""
         job = JobPlan(at_s=0.0, run_s=(1.0,) * 4, crash_s=(AT_ONCE_S,) * 4)
-        self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(job,)), MIN_SHARE)
 
     def test_two_jobs_at_two_entries(self) -> None:
         other = replace(CRASHING, at_s=0.1, entry=1)
-        self.assertGreaterEqual(self.play_all(crashing=(CRASHING, other)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(CRASHING, other)), MIN_SHARE)
 
 
 class SubmittedAgainTests(CrashTestCase):
     """A caller that resubmits the job must not reset the number of its crashes."""
 
-    def test_unheard(self) -> None:
-        self.play_all(HangUp(job=0, at_s=0.04, is_heard=False))
+    def test_unnoticed(self) -> None:
+        self.play_all(HangUp(job=0, at_s=0.04, is_noticed=False))
 
-    def test_heard_four_times(self) -> None:
+    def test_noticed_four_times(self) -> None:
         self.play_all(*(HangUp(job=0, at_s=0.04 + 1.4 * number) for number in range(4)))
 
-    def test_heard_after_each_crash(self) -> None:
+    def test_noticed_after_each_crash(self) -> None:
         self.play_all(*(HangUp(job=0, at_s=0.03 + 1.32 * number) for number in range(6)))
 
 
@@ -121,7 +121,7 @@
         ]
         self.play_all(*kills)
 
-    def test_the_owner_stands_still(self) -> None:
+    def test_the_owner_is_paused(self) -> None:
         self.play_all(Freeze(process="entry-0", at_s=0.03, for_s=2.0))
 
     def test_the_owner_is_cut_off_from_agents(self) -> None:
--- a/tests/histories/test_cut_entries.py
+++ b/tests/histories/test_cut_entries.py
@@ -23,7 +23,7 @@
 CUT_S = 6.0
 PLAYS = 24
 """Seeds per order of events, enough for packet delays to produce each order."""
-UNHEARD = HangUp(job=0, at_s=0.3, is_heard=False)
+UNHEARD = HangUp(job=0, at_s=0.3, is_noticed=False)
 
 
 def cut(sender: str, receiver: str, *, is_both_ways: bool = True) -> Cut:
@@ -36,7 +36,7 @@
 class CutEntriesTestCase(OrdersTestCase):
     def check_cut(self, *faults: Fault, entries: int = 2) -> None:
         """Check that no play runs the job's task twice."""
-        self.check(*faults, UNHEARD, runs=(RUN_S,), entries=entries, plays=PLAYS, lasts_s=7.0)
+        self.check(*faults, UNHEARD, runs=(RUN_S,), entries=entries, plays=PLAYS, duration_s=7.0)
 
 
 class CommonAgentsTests(CutEntriesTestCase):
@@ -45,10 +45,10 @@
     def test_two_entries_are_cut_off_from_each_other(self) -> None:
         self.check_cut(cut("entry-0", "entry-1"))
 
-    def test_the_second_entry_does_not_hear_the_first(self) -> None:
+    def test_the_second_entry_does_not_receive_from_the_first(self) -> None:
         self.check_cut(cut("entry-0", "entry-1", is_both_ways=False))
 
-    def test_the_first_entry_does_not_hear_the_second(self) -> None:
+    def test_the_first_entry_does_not_receive_from_the_second(self) -> None:
         self.check_cut(cut("entry-1", "entry-0", is_both_ways=False))
 
     def test_three_entries_are_cut_off_each_from_each(self) -> None:
@@ -59,23 +59,23 @@
         kill = Kill(process="entry-2", at_s=CUT_AT_S, for_s=CUT_S)
         self.check_cut(cut("entry-0", "entry-1"), kill, entries=3)
 
-    def test_two_entries_are_cut_off_and_one_agent_stands_still(self) -> None:
+    def test_two_entries_are_cut_off_and_one_agent_is_paused(self) -> None:
         for agent in ("agent-0", "agent-1"):
             freeze = Freeze(process=agent, at_s=0.2, for_s=1.0)
             self.check_cut(cut("entry-0", "entry-1"), freeze)
 
-    def test_the_second_entry_begins_anew_beyond_the_cut(self) -> None:
+    def test_the_second_entry_restarts_beyond_the_cut(self) -> None:
         kill = Kill(process="entry-1", at_s=0.2, for_s=0.4)
         self.check_cut(cut("entry-0", "entry-1"), kill)
 
-    def test_both_entries_hear_only_one_of_the_agents(self) -> None:
+    def test_both_entries_reach_only_one_of_the_agents(self) -> None:
         self.check_cut(cut("entry-0", "entry-1"), cut("entry-1", "agent-1"))
 
     def test_the_job_is_submitted_while_its_entry_is_cut_off_already(self) -> None:
         jobs = (JobPlan(at_s=1.5, run_s=(RUN_S,)),)
         hang_up = replace(UNHEARD, at_s=1.8)
         self.check(
-            cut("entry-0", "entry-1"), hang_up, jobs=jobs, entries=2, plays=PLAYS, lasts_s=7.0
+            cut("entry-0", "entry-1"), hang_up, jobs=jobs, entries=2, plays=PLAYS, duration_s=7.0
         )
 
 
@@ -116,12 +116,14 @@
                 for agent in ("agent-0", "agent-1")
             ]
             between = Cut(sender="entry-0", receiver="entry-1", at_s=CUT_AT_S, for_s=peers_s)
-            self.check(between, *cuts, hang_up, jobs=jobs, entries=2, plays=PLAYS // 2, lasts_s=7.0)
+            self.check(
+                between, *cuts, hang_up, jobs=jobs, entries=2, plays=PLAYS // 2, duration_s=7.0
+            )
 
     def test_a_job_that_had_begun(self) -> None:
         self.check_cut_off(UNHEARD, JobPlan(at_s=0.0, run_s=(RUN_S,)))
 
-    def test_a_job_that_waited_for_room(self) -> None:
+    def test_a_job_that_waited_for_capacity(self) -> None:
         others = JobPlan(at_s=0.0, run_s=(1.0,) * 8, entry=1)
         waiting = JobPlan(at_s=0.02, run_s=(RUN_S,))
         self.check_cut_off(replace(UNHEARD, job=1), others, waiting)
@@ -131,11 +133,11 @@
         self.check_cut_off(hang_up, JobPlan(at_s=0.6, run_s=(RUN_S,)))
 
 
-class LeftRunsTests(CutEntriesTestCase):
+class RemainingRunsTests(CutEntriesTestCase):
     """An entry that starts after agents have lost another one must not grant itself the ids of that
     entry's jobs before the leases of their runs have expired."""
 
-    def test_an_entry_begins_as_agents_lose_the_one_that_it_never_met(self) -> None:
+    def test_an_entry_starts_as_agents_lose_the_one_that_it_never_met(self) -> None:
         stops = fail_calls("stop", CallEffect.LOST, for_s=3.0)
         for at_s in (0.5, 0.7, 0.9, 1.1, 1.3):
             begins = Kill(process="entry-1", at_s=-0.9, for_s=at_s + 0.85)
--- a/tests/histories/test_departures.py
+++ b/tests/histories/test_departures.py
@@ -10,7 +10,7 @@
 from tests.histories.draw import draw_departure_history, play
 
 DRAWN = 120
-LEAST_MOVES = 20
+MIN_MOVES = 20
 """Minimum number of runs moved in all drawn histories."""
 LEAVE_AT_S = 0.3
 MOVED = "run:moved cause=leaving"
@@ -25,7 +25,7 @@
         jobs=(JOB,),
         faults=(notice, *faults),
         entries=2,
-        lasts_s=14.0,
+        duration_s=14.0,
         plans_departures=True,
     )
 
@@ -38,12 +38,12 @@
         self.assertEqual([], outcome.broken, trace)
         return trace
 
-    def test_what_the_worker_can_not_end_is_moved_and_done_sooner(self) -> None:
+    def test_runs_that_the_worker_cannot_complete_are_moved_and_complete_sooner(self) -> None:
         history = make_history()
         self.assertIn(MOVED, self.check(history))
-        outcome = play(replace(history, lasts_s=4.7))
+        outcome = play(replace(history, duration_s=4.7))
         self.assertEqual({0: "succeeded"}, outcome.states)
-        outcome = play(replace(history, lasts_s=4.7, plans_departures=False))
+        outcome = play(replace(history, duration_s=4.7, plans_departures=False))
         self.assertEqual({}, outcome.states)
 
     def test_an_owner_killed_between_the_stop_and_the_second_start(self) -> None:
@@ -55,7 +55,7 @@
             moved += MOVED in trace
         self.assertGreater(moved, 0)
 
-    def test_an_agent_killed_after_its_word(self) -> None:
+    def test_an_agent_killed_after_it_reported_the_notice(self) -> None:
         for step in range(0, 100, 4):
             kill = Kill(process="agent-0", at_s=LEAVE_AT_S + step / 1000, for_s=0.5)
             self.check(make_history(kill, seed=step))
@@ -76,4 +76,4 @@
         moves = 0
         for seed in range(DRAWN):
             moves += self.check(draw_departure_history(seed)).count(MOVED)
-        self.assertGreater(moves, LEAST_MOVES)
+        self.assertGreater(moves, MIN_MOVES)
--- a/tests/histories/test_histories.py
+++ b/tests/histories/test_histories.py
@@ -15,20 +15,20 @@
 from tests.histories.draw import draw_cut_history, draw_history, play
 
 HISTORIES = 250
-LEAST_STARTS = 1000
+MIN_STARTS = 1000
 """Minimum number of started runs, so that a model in which nothing happens does not pass."""
-LEAST_DONE = 150
+MIN_DONE = 150
 """Minimum number of completed jobs."""
 CUT_HISTORIES = 120
 """Number of histories with network cuts between entries."""
-LEAST_CUT_STARTS = 350
-LEAST_CUT_DONE = 50
+MIN_CUT_STARTS = 350
+MIN_CUT_DONE = 50
 """The same minimums for the histories with network cuts."""
 
 
 class HistoriesTests(unittest.TestCase):
     def check(
-        self, draw: Callable[[int], History], count: int, *, least_starts: int, least_done: int
+        self, draw: Callable[[int], History], count: int, *, min_starts: int, min_done: int
     ) -> None:
         """Check that no history violates a guarantee and that enough jobs run."""
         starts = 0
@@ -41,22 +41,22 @@
             if outcome.broken:
                 broken.append(f"seed {seed}: {outcome.broken[0]}")
         self.assertEqual([], broken)
-        self.assertGreater(starts, least_starts)
-        self.assertGreater(answers["JobDone"], least_done)
+        self.assertGreater(starts, min_starts)
+        self.assertGreater(answers["JobDone"], min_done)
 
-    def test_no_promise_is_broken(self) -> None:
-        self.check(draw_history, HISTORIES, least_starts=LEAST_STARTS, least_done=LEAST_DONE)
+    def test_no_guarantee_is_violated(self) -> None:
+        self.check(draw_history, HISTORIES, min_starts=MIN_STARTS, min_done=MIN_DONE)
 
-    def test_no_promise_is_broken_while_entries_are_cut_off(self) -> None:
+    def test_no_guarantee_is_violated_while_entries_are_cut_off(self) -> None:
         """Entries must not grant ids only because other entries are unresponsive."""
         self.check(
             draw_cut_history,
             CUT_HISTORIES,
-            least_starts=LEAST_CUT_STARTS,
-            least_done=LEAST_CUT_DONE,
+            min_starts=MIN_CUT_STARTS,
+            min_done=MIN_CUT_DONE,
         )
 
-    def test_a_fleet_that_gives_a_run_up_too_early_is_found_out(self) -> None:
+    def test_a_run_given_up_too_early_is_detected(self) -> None:
         freezes = tuple(Freeze(process=f"agent-{n}", at_s=0.5, for_s=2.0 * n) for n in range(2))
         history = History(seed=0, jobs=(JobPlan(at_s=0.0, run_s=(6.0,) * 6),), faults=freezes)
         self.assertEqual([], play(history).broken)
--- a/tests/histories/test_news.py
+++ b/tests/histories/test_news.py
@@ -5,7 +5,7 @@
 
 import unittest
 
-from tests.histories.draw import draw_news_history, play
+from tests.histories.draw import draw_restart_history, play
 
 LATE_SEEDS = (10094, 10504, 11695)
 """Regressions: an agent paused while its start was answered must not date the run from when it read
@@ -15,9 +15,9 @@
 DRAWN = 120
 
 
-class NewsTests(unittest.TestCase):
+class RestartedWorkerTests(unittest.TestCase):
     def check_seed(self, seed: int) -> None:
-        outcome = play(draw_news_history(seed))
+        outcome = play(draw_restart_history(seed))
         self.assertEqual([], outcome.broken, "\n".join(outcome.trace))
 
     def test_histories_that_were_broken(self) -> None:
--- a/tests/histories/test_preemption.py
+++ b/tests/histories/test_preemption.py
@@ -21,13 +21,13 @@
 
 LONG_JOB, URGENT_JOB = 1, 2
 DRAWN = 60
-LEAST_PREEMPTIONS = 100
-LEAST_DONE = 200
+MIN_PREEMPTIONS = 100
+MIN_DONE = 200
 URGENT_AT_S = 1.0
-ASKED_S = 0.12
+REQUEST_DELAY_S = 0.12
 """Time from the arrival of an urgent job to its request for capacity: a fifth of its slack and one
 turn of the event loop."""
-STOPPING_AT_S = URGENT_AT_S + ASKED_S + 0.08
+STOPPING_AT_S = URGENT_AT_S + REQUEST_DELAY_S + 0.08
 """Between the stop and the second start, while stops are executed late."""
 
 
@@ -60,7 +60,7 @@
             faults=(*late_stops, *faults),
             entries=entries,
             preempts=True,
-            lasts_s=12.0,
+            duration_s=12.0,
         )
         outcome = play(history)
         trace = "\n".join(outcome.trace)
@@ -79,7 +79,7 @@
     def test_the_owner_is_killed(self) -> None:
         self.play(Kill(process="entry-0", at_s=STOPPING_AT_S, for_s=0.3), entries=2)
 
-    def test_the_owner_stands_still(self) -> None:
+    def test_the_owner_is_paused(self) -> None:
         self.play(Freeze(process="entry-0", at_s=STOPPING_AT_S, for_s=1.0), entries=2)
 
     def test_the_agents_are_killed(self) -> None:
@@ -103,10 +103,10 @@
 
 
 class DrawnTests(unittest.TestCase):
-    def test_no_promise_is_broken(self) -> None:
+    def test_no_guarantee_is_violated(self) -> None:
         outcomes = [play(draw_preemption_history(seed)) for seed in range(DRAWN)]
         broken = [(seed, o.broken[0]) for seed, o in enumerate(outcomes) if o.broken]
         self.assertEqual([], broken)
-        self.assertGreater(sum(o.preemptions for o in outcomes), LEAST_PREEMPTIONS)
+        self.assertGreater(sum(o.preemptions for o in outcomes), MIN_PREEMPTIONS)
         done = sum(o.answers.count("JobDone") for o in outcomes)
-        self.assertGreater(done, LEAST_DONE)
+        self.assertGreater(done, MIN_DONE)
--- a/tests/histories/test_reborn_workers.py
+++ b/tests/histories/test_reborn_workers.py
@@ -10,7 +10,7 @@
 from tests.histories.draw import play
 
 PLAYS = 6
-QUICK_S = (0.004, 0.03, 0.4)
+DOWNTIMES_S = (0.004, 0.03, 0.4)
 """Downtimes of a worker: shorter than a poll, two refused polls, and its report interval."""
 LONG_S = 3.0
 SHORT_S = 0.3
@@ -23,7 +23,7 @@
 """The short jobs keep starts and ends of runs coming throughout the history."""
 
 
-class RebornTests(unittest.TestCase):
+class RestartTests(unittest.TestCase):
     def check(self, *faults: Fault, is_scarce: bool = False) -> None:
         """Check that no guarantee is violated and that every job succeeds.
 
@@ -31,15 +31,15 @@
         capacity, or fail once two workers have ended while running it, as the model checks.
         """
         jobs = JOBS
-        for away_s in QUICK_S:
+        for downtime_s in DOWNTIMES_S:
             drawn = History(
                 seed=0,
                 jobs=jobs,
-                faults=tuple(_set_time_away(fault, away_s) for fault in faults),
+                faults=tuple(_set_downtime(fault, downtime_s) for fault in faults),
                 entries=2,
-                lasts_s=LASTS_S,
+                duration_s=LASTS_S,
                 keeps_ids=True,
-                back_s=away_s,
+                crash_downtime_s=downtime_s,
             )
             for seed in range(PLAYS):
                 outcome = play(replace(drawn, seed=seed))
@@ -50,10 +50,10 @@
                     continue
                 self.assertEqual(["succeeded"] * len(jobs), states)
 
-    def test_a_worker_begins_anew(self) -> None:
+    def test_a_worker_restarts(self) -> None:
         self.check(Kill(process="worker-0", at_s=0.8, for_s=0.0))
 
-    def test_both_begin_anew_twice_in_a_row(self) -> None:
+    def test_both_restart_twice_in_a_row(self) -> None:
         self.check(
             *(
                 Kill(process=worker, at_s=at_s + 0.013 * number, for_s=0.0)
@@ -63,19 +63,19 @@
             is_scarce=True,
         )
 
-    def test_it_begins_anew_while_its_agent_stands_still(self) -> None:
+    def test_it_restarts_while_its_agent_is_paused(self) -> None:
         self.check(
             Freeze(process="agent-0", at_s=0.7, for_s=0.9),
             Kill(process="worker-0", at_s=0.9, for_s=0.0),
         )
 
-    def test_it_begins_anew_while_its_agent_does(self) -> None:
+    def test_it_restarts_while_its_agent_restarts(self) -> None:
         self.check(
             Kill(process="agent-0", at_s=0.7, for_s=0.3),
             Kill(process="worker-0", at_s=0.8, for_s=0.0),
         )
 
-    def test_it_begins_anew_as_its_connections_are_reset(self) -> None:
+    def test_it_restarts_as_its_connections_are_reset(self) -> None:
         drops = (Drop(first="agent-0", second="worker-0", at_s=0.9 + 0.02 * n) for n in range(5))
         self.check(Kill(process="worker-0", at_s=0.9, for_s=0.0), *drops)
 
@@ -94,8 +94,8 @@
         self.check(Kill(process="worker-0", at_s=0.9, for_s=0.0), *late)
 
 
-def _set_time_away(fault: Fault, away_s: float) -> Fault:
+def _set_downtime(fault: Fault, downtime_s: float) -> Fault:
     """Return the fault, with the downtime replaced if it kills a worker."""
     if isinstance(fault, Kill) and fault.process in WORKERS:
-        return replace(fault, for_s=away_s)
+        return replace(fault, for_s=downtime_s)
     return fault
--- a/tests/histories/test_suspended_hosts.py
+++ b/tests/histories/test_suspended_hosts.py
@@ -20,11 +20,11 @@
 
 
 class SuspendedEntryTests(OrdersTestCase):
-    def test_its_caller_asks_another_one(self) -> None:
+    def test_its_caller_resubmits_to_another_entry(self) -> None:
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=0.2, for_s=for_s),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
@@ -32,15 +32,15 @@
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=AT_ONCE_S, for_s=for_s),
-                HangUp(job=0, at_s=0.05, is_heard=False),
+                HangUp(job=0, at_s=0.05, is_noticed=False),
                 entries=2,
             )
 
-    def test_what_waits_there_is_asked_for_elsewhere(self) -> None:
+    def test_a_job_waiting_there_is_resubmitted_elsewhere(self) -> None:
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=0.1, for_s=for_s),
-                HangUp(job=1, at_s=0.15, is_heard=False),
+                HangUp(job=1, at_s=0.15, is_noticed=False),
                 jobs=WAITING,
                 entries=2,
             )
@@ -50,7 +50,7 @@
             self.check(
                 Suspend(process="entry-0", at_s=0.2, for_s=for_s),
                 Suspend(process="entry-0", at_s=0.21 + for_s, for_s=for_s),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
@@ -75,7 +75,7 @@
                 Suspend(process="agent-1", at_s=0.2, for_s=for_s),
                 Cut(sender="entry-0", receiver="agent-0", at_s=0.1 + for_s, for_s=1.0),
                 Cut(sender="entry-0", receiver="agent-1", at_s=0.1 + for_s, for_s=1.0),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
--- a/tests/histories/worker.py
+++ b/tests/histories/worker.py
@@ -22,17 +22,17 @@
 from tests.histories.clock import EPOCH_S, ModelHost, Timeline
 from tests.histories.network import End
 
-__all__ = ["SERVICE", "ModelWorker", "StartedRun", "TaskText"]
+__all__ = ["SERVICE", "ModelWorker", "StartedRun", "TaskSpec"]
 
 SERVICE = "floor"
 DATA_CENTRE = "austin"
-STOP_S = 0.05
+MAX_STOP_S = 0.05
 """Maximum duration of a stop on the platform."""
-SHRUNK_S = 4.5
+SHRINK_GRACE_S = 4.5
 """Grace period on the platform before a reduced capacity is enforced: 3 s and a report interval."""
-HOLD_GRAIN_S = 0.005
+HOLD_CHECK_INTERVAL_S = 0.005
 """Interval at which a pending poll checks for ended runs."""
-ANSWER_S = (0.0003, 0.002)
+RESPONSE_S = (0.0003, 0.002)
 """Range of response times without a fault."""
 KINDS = {START_PATH: "start", STOP_PATH: "stop", LOOK_PATH: "hold"}
 CLOCK_AHEAD_S = 5_000.0
@@ -40,7 +40,7 @@
 same id starts at 0, so that a time on an earlier one's clock is far in the future."""
 
 
-class TaskText(msgspec.Struct, frozen=True, kw_only=True):
+class TaskSpec(msgspec.Struct, frozen=True, kw_only=True):
     """The payload of a job, which tells the modelled worker how its tasks run."""
 
     run_s: tuple[float, ...]
@@ -80,7 +80,7 @@
         note: Callable[[str, str], None],
     ) -> None:
         self.host = ModelHost(name=name, timeline=timeline)
-        self._lives = 1
+        self._incarnation_number = 1
         self._cpu = cpu
         self._rate = rate
         self._keeps_id = keeps_id
@@ -93,7 +93,7 @@
         self._on_start = on_start
         self._on_crash = on_crash
         self._on_overload = on_overload
-        self._guards = True
+        self._checks_capacity = True
         """Whether it refuses starts beyond its capacity; once resized, it relies on its agent."""
         self._shrunk_at = float("-inf")
         self.leaves_at: float | None = None
@@ -106,7 +106,7 @@
         """Tasks that completed in earlier incarnations."""
 
     @property
-    def life(self) -> WorkerIncarnation:
+    def incarnation(self) -> WorkerIncarnation:
         """The current incarnation, as it is reported to the agent."""
         return WorkerIncarnation(
             id=make_life_id(self._wire_id, self._born),
@@ -121,7 +121,7 @@
     @property
     def _wire_id(self) -> str:
         """The id in its reports and in calls to it."""
-        return f"i-{self.name}" if self._keeps_id else f"i-{self.name}-{self._lives}"
+        return f"i-{self.name}" if self._keeps_id else f"i-{self.name}-{self._incarnation_number}"
 
     @property
     def _born(self) -> int | msgspec.UnsetType:
@@ -152,12 +152,12 @@
         if cpu < self._cpu:
             self._shrunk_at = self._timeline.now
         self._cpu = cpu
-        self._guards = False
+        self._checks_capacity = False
 
     def crash(self) -> None:
         """End this incarnation and its runs; the next one starts once the host is up again."""
         self._done = self.done
-        self._lives += 1
+        self._incarnation_number += 1
         self.leaves_at = None
         self._runs = EmulatedRuns()
         self._ends_noted = 0
@@ -201,7 +201,7 @@
         if effect is CallEffect.REJECTED:
             _answer(end, 503, ClockAnswer())
             return
-        if effect is CallEffect.NO_ROOM and not self._is_there(call):
+        if effect is CallEffect.NO_ROOM and not self._is_active(call):
             reason = self._renew(call) or "room"
             self._answer_soon(end, 409, self._make_answer(reason), effect=None, delay_s=0.0)
             return
@@ -217,10 +217,10 @@
 
     def _carry_out_later(self, kind: str, call: dict[str, Any], delay_s: float) -> None:
         """Execute a call later, unless the incarnation it was sent to has ended by then."""
-        life = self._lives
+        incarnation = self._incarnation_number
 
         def carry_out() -> None:
-            if self._lives == life:
+            if self._incarnation_number == incarnation:
                 self._note(self.name, f"executes a late {kind}")
                 self._carry_out(kind, call)
 
@@ -232,7 +232,7 @@
             if fault.kind != kind or not fault.at_s <= now < fault.at_s + fault.for_s:
                 continue
             used = self._used_faults.get(number, 0)
-            if used < fault.most:
+            if used < fault.max_calls:
                 self._used_faults[number] = used + 1
                 return fault.effect, fault.delay_s
         return None, 0.0
@@ -243,7 +243,7 @@
         if effect is CallEffect.DONE_UNANSWERED:
             return
         if effect is not CallEffect.ANSWERED_LATE:
-            delay_s = self._rng.uniform(*ANSWER_S)
+            delay_s = self._rng.uniform(*RESPONSE_S)
         self._timeline.call_later(delay_s, lambda: _answer(end, status, answer))
 
     def _carry_out(self, kind: str, call: dict[str, Any]) -> tuple[int, Any]:
@@ -256,15 +256,15 @@
             reason = self._renew(call)
         return (409 if reason else 200), self._make_answer(reason)
 
-    def _is_there(self, call: dict[str, Any]) -> bool:
+    def _is_active(self, call: dict[str, Any]) -> bool:
         """Return whether the run that a call names is active."""
         active = self._runs.active.get(call["task"])
         return active is not None and active.order.run == call["run"]
 
     def _start(self, call: dict[str, Any]) -> str:
-        text = msgspec.json.decode(call["spec"], type=TaskText)
+        text = msgspec.json.decode(call["spec"], type=TaskSpec)
         task, run, now = call["task"], call["run"], self._now()
-        is_there = self._is_there(call)
+        is_active = self._is_active(call)
         position = int(task.rpartition(".")[2])
         order = Order(
             task=task,
@@ -273,7 +273,7 @@
             fence=call["fence"],
             run_s=text.run_s[position],
         )
-        if not is_there and self._guards and not self._has_room(text.cpu):
+        if not is_active and self._checks_capacity and not self._has_capacity(text.cpu):
             # Capacity is checked last, so that other reasons for a refusal take precedence.
             return self._renew(call) or "room"
         earlier_run = self.get_active().get(task)
@@ -283,9 +283,9 @@
             self.name,
             f"start of {task} run {run}: {reason or 'ok'}, lease of {left_s:.3f} s left",
         )
-        if not reason and not is_there:
+        if not reason and not is_active:
             self._cpus[task] = text.cpu
-            if not self._has_room(0) and self._timeline.now > self._shrunk_at + SHRUNK_S:
+            if not self._has_capacity(0) and self._timeline.now > self._shrunk_at + SHRINK_GRACE_S:
                 self._on_overload(f"{task} run {run} begins on {self.name} beyond its capacity")
             self._on_start(
                 StartedRun(
@@ -302,32 +302,32 @@
 
     def _crash_later(self, task: str, run: int, delay_s: float) -> None:
         """Crash this incarnation unless the run ends within the delay."""
-        life = self._lives
+        incarnation = self._incarnation_number
 
         def crash() -> None:
-            if self._lives == life and self.get_active().get(task) == run:
+            if self._incarnation_number == incarnation and self.get_active().get(task) == run:
                 self._on_crash(self, task)
 
         self._timeline.call_later(delay_s, crash)
 
-    def _has_room(self, cpu: int) -> bool:
+    def _has_capacity(self, cpu: int) -> bool:
         used = sum(self._cpus.get(task, 0) for task in self._runs.active)
         return used + cpu <= self._cpu
 
     def _stop(self, call: dict[str, Any]) -> str:
         task, run = call["task"], call["run"]
-        is_going = self._is_there(call)
-        self._note(self.name, f"stop of {task} run {run}{'' if is_going else ', not active'}")
-        if not is_going:
+        is_active = self._is_active(call)
+        self._note(self.name, f"stop of {task} run {run}{'' if is_active else ', not active'}")
+        if not is_active:
             return self._runs.stop(task, run, call["fence"], now=self._now())
-        life, stop_s = self._lives, self._rng.uniform(0.0, STOP_S)
+        incarnation, stop_s = self._incarnation_number, self._rng.uniform(0.0, MAX_STOP_S)
         self._timeline.call_later(
-            stop_s, lambda: self._end_stopped(task, run, call["fence"], life=life)
+            stop_s, lambda: self._end_stopped(task, run, call["fence"], incarnation=incarnation)
         )
         return ""
 
-    def _end_stopped(self, task: str, run: int, fence: int, *, life: int) -> None:
-        if life != self._lives:
+    def _end_stopped(self, task: str, run: int, fence: int, *, incarnation: int) -> None:
+        if incarnation != self._incarnation_number:
             return
         self._runs.stop(task, run, fence, now=self._now())
         self._advance()
@@ -365,7 +365,7 @@
             return
         if self._timeline.now < answer_at and not self._runs.get_ended():
             self._timeline.call_later(
-                HOLD_GRAIN_S,
+                HOLD_CHECK_INTERVAL_S,
                 lambda: self._await_end(end, answer_at=answer_at, effect=effect, delay_s=delay_s),
             )
             return
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -12,14 +12,14 @@
 from tests.soak.cluster import LESS_URGENT_PREFIX, Cluster
 from tests.soak.report import Report
 
-RESEND_S = 1.3
+RESUBMIT_DELAY_S = 1.3
 """Delay before a caller resubmits a job without a final answer."""
 TRIES = 4
 REFUSALS = (429, 503)
 """Status codes that guarantee that a job has not run."""
 HANG_UP_SHARE = 0.15
 """Share of the attempts, except the last, that a caller abandons while the job may run."""
-LEAST_PATIENCE_S = 0.05
+MIN_TIMEOUT_S = 0.05
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -29,7 +29,7 @@
     tasks: tuple[int, int]
     run_s: tuple[float, float]
     estimate_ms: int
-    patience_s: float
+    timeout_s: float
     crash_s: float | None = None
     """Time from the start of a task to the crash of its worker, or None."""
     pause_s: float = 0.1
@@ -39,14 +39,14 @@
 
 
 SHORT_JOBS = JobKind(
-    tasks=(1, 4), run_s=(0.05, 0.8), estimate_ms=STEP["estimate_ms"], patience_s=8.0
+    tasks=(1, 4), run_s=(0.05, 0.8), estimate_ms=STEP["estimate_ms"], timeout_s=8.0
 )
-LONG_JOBS = JobKind(tasks=(1, 3), run_s=(2.0, 6.0), estimate_ms=4000, patience_s=20.0)
+LONG_JOBS = JobKind(tasks=(1, 3), run_s=(2.0, 6.0), estimate_ms=4000, timeout_s=20.0)
 LESS_URGENT_JOBS = JobKind(
     tasks=(2, 4),
     run_s=(1.5, 4.0),
     estimate_ms=3000,
-    patience_s=20.0,
+    timeout_s=20.0,
     prefix=LESS_URGENT_PREFIX,
 )
 CRASHING_JOBS = tuple(
@@ -54,7 +54,7 @@
         tasks=(1, 2),
         run_s=(0.6, 1.0),
         estimate_ms=500,
-        patience_s=8.0,
+        timeout_s=8.0,
         crash_s=crash_s,
         pause_s=5.0,
     )
@@ -68,12 +68,12 @@
 
 
 async def submit(
-    cluster: Cluster, url: str, body: Any, *, patience_s: float
+    cluster: Cluster, url: str, body: Any, *, timeout_s: float
 ) -> tuple[int | None, str]:
     """Submit a job; return the status, or None without an answer, and the state."""
     try:
         response = await cluster.client.request(
-            "POST", url, body=body, headers={"Host": HOST}, timeout_s=patience_s
+            "POST", url, body=body, headers={"Host": HOST}, timeout_s=timeout_s
         )
     except HttpFailure:
         # A refused connection does not mean that the job has not run: the client retries by itself
@@ -107,16 +107,16 @@
         self._hang_up_rng = random.Random(f"caller {number} of {report.seed}")
         self._keeps_entry = keeps_entry
         self._kept = ""
-        self._is_leaving = False
+        self._is_stopping = False
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Stop after the current job."""
-        self._is_leaving = True
+        self._is_stopping = True
 
     async def run(self) -> None:
         """Submit jobs one after another."""
         count = 0
-        while not self._is_leaving:
+        while not self._is_stopping:
             count += 1
             await self._run_job(f"{make_prefix(self._number)}{count:012x}")
             await asyncio.sleep(self._rng.uniform(0.0, self._kind.pause_s))
@@ -133,29 +133,31 @@
         self._report.jobs += 1
         statuses = []
         for tries_left in reversed(range(TRIES)):
-            patience_s = self._draw_patience_s(run_s) if tries_left else self._kind.patience_s
-            status, state = await self._submit(job_id, body, patience_s)
+            timeout_s = self._draw_timeout_s(run_s) if tries_left else self._kind.timeout_s
+            status, state = await self._submit(job_id, body, timeout_s)
             statuses.append(status)
             if status not in (None, 502, 504):
                 break
-            await asyncio.sleep(RESEND_S)
-        self._judge(job_id, tasks, statuses, state)
+            await asyncio.sleep(RESUBMIT_DELAY_S)
+        self._check_result(job_id, tasks, statuses, state)
 
-    def _draw_patience_s(self, run_s: float) -> float:
+    def _draw_timeout_s(self, run_s: float) -> float:
         if self._hang_up_rng.random() >= HANG_UP_SHARE:
-            return self._kind.patience_s
+            return self._kind.timeout_s
         self._report.hung_up += 1
-        return self._hang_up_rng.uniform(LEAST_PATIENCE_S, run_s)
+        return self._hang_up_rng.uniform(MIN_TIMEOUT_S, run_s)
 
-    async def _submit(self, job_id: str, body: Any, patience_s: float) -> tuple[int | None, str]:
+    async def _submit(self, job_id: str, body: Any, timeout_s: float) -> tuple[int | None, str]:
         address = self._rng.choice(self._cluster.callers)
         address = self._kept or address
         url = f"http://{address}{self._kind.prefix}{job_id}"
-        status, state = await submit(self._cluster, url, body, patience_s=patience_s)
+        status, state = await submit(self._cluster, url, body, timeout_s=timeout_s)
         self._kept = address if self._keeps_entry and status is not None else ""
         return status, state
 
-    def _judge(self, job_id: str, tasks: int, statuses: list[int | None], state: str) -> None:
+    def _check_result(
+        self, job_id: str, tasks: int, statuses: list[int | None], state: str
+    ) -> None:
         workers = self._cluster.workers
         names = [f"{job_id}.0.0.{position}" for position in range(tasks)]
         if state == "succeeded" and self._kind.crash_s is not None:
--- a/tests/soak/cluster.py
+++ b/tests/soak/cluster.py
@@ -22,7 +22,7 @@
 LESS_URGENT_PREFIX = "/less-urgent/"
 KINDS = "abc"
 """Labels of workers, one for each speed."""
-SPARED = "waco"
+EVACUATED = "waco"
 """Data centre of every other worker, which is evacuated from time to time."""
 
 
@@ -168,17 +168,17 @@
 
     def evacuate(self) -> None:
         """Evacuate a data centre: no task may be started there."""
-        self.store.put("op", f"evacuate/{SPARED}", {})
+        self.store.put("op", f"evacuate/{EVACUATED}", {})
 
-    def take_back(self) -> None:
+    def end_evacuation(self) -> None:
         """End the evacuation."""
-        self.store.drop("op", f"evacuate/{SPARED}")
+        self.store.drop("op", f"evacuate/{EVACUATED}")
 
     def get_slowness(self, worker: EmulatedWorker) -> float:
         """Return the run time factor of a worker without faults."""
         return 1.0 / self._speeds[self.workers.index(worker) % len(self._speeds)]
 
-    def get_spared(self) -> list[EmulatedWorker]:
+    def get_evacuated_workers(self) -> list[EmulatedWorker]:
         """Return the workers of the data centre that is evacuated from time to time."""
         return self.workers[1::2]
 
@@ -204,7 +204,7 @@
         settings = {
             "name": f"entry-{number}",
             "data_centre": DATA_CENTRE,
-            "data_centres": {DATA_CENTRE: REGION, SPARED: REGION},
+            "data_centres": {DATA_CENTRE: REGION, EVACUATED: REGION},
             "callers": {"address": callers},
             "readiness": {"address": find_address()},
             "links": {"address": links},
@@ -220,7 +220,7 @@
 
     async def _add_worker(self, number: int, seeds: list[str], store: str) -> None:
         reports = find_address()
-        data_centre = SPARED if number % 2 else DATA_CENTRE
+        data_centre = EVACUATED if number % 2 else DATA_CENTRE
         worker = EmulatedWorker(
             address=find_address(),
             report_to=reports,
--- a/tests/soak/crashes.py
+++ b/tests/soak/crashes.py
@@ -8,9 +8,9 @@
 
 __all__ = ["CrashCount"]
 
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 TOO_MANY_STARTS = 3
-"""Starts of a task after its first :data:`MOST_CRASHES` crashes that violate a platform rule."""
+"""Starts of a task after its first :data:`MAX_CRASHES` crashes that violate a platform rule."""
 
 
 class CrashCount:
@@ -33,8 +33,8 @@
 
     def note_start(self, task: str) -> None:
         """Record a start of any task."""
-        if self._crashes[task] < MOST_CRASHES:
+        if self._crashes[task] < MAX_CRASHES:
             return
         self._late_starts[task] += 1
         if self._late_starts[task] == TOO_MANY_STARTS:
-            self._report.broken.append(f"{task} was still started after {MOST_CRASHES} crashes")
+            self._report.broken.append(f"{task} was still started after {MAX_CRASHES} crashes")
--- a/tests/soak/departures.py
+++ b/tests/soak/departures.py
@@ -13,15 +13,15 @@
 DRAIN_S = 2.0
 """Time for which an agent may still start tasks on its worker after it has received the notice: the
 platform's `drain_ms`."""
-STRIKE_PAUSE_S = (0.2, 2.0)
+FAULT_PAUSE_S = (0.2, 2.0)
 """Range of pauses between two notices."""
 NOTICE_S = (0.5, 5.0)
-TAKEN_BACK_SHARE = 0.25
-LINGER_SHARE = 0.4
-LINGER_S = (0.5, 3.0)
+WITHDRAWN_SHARE = 0.25
+OVERSTAY_SHARE = 0.4
+OVERSTAY_S = (0.5, 3.0)
 """How long a worker stays after its notice has run out, in some cases."""
-AWAY_S = (0.2, 2.0)
-GRAIN_S = 0.1
+DOWNTIME_S = (0.2, 2.0)
+UPDATE_INTERVAL_S = 0.1
 
 
 class Departures:
@@ -36,7 +36,7 @@
         self._down = down
         self._rng = random.Random(f"departures of {report.seed}")
 
-    async def strike_for(self, seconds: float) -> None:
+    async def inject_for(self, seconds: float) -> None:
         """Give notices for a while; return when all workers are up again without a notice."""
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
@@ -45,7 +45,7 @@
             worker = self._rng.choice(self._cluster.workers)
             rng = random.Random(self._rng.random())
             running.add(asyncio.create_task(self._give_notice(worker, rng)))
-            await asyncio.sleep(self._rng.uniform(*STRIKE_PAUSE_S))
+            await asyncio.sleep(self._rng.uniform(*FAULT_PAUSE_S))
         await asyncio.gather(*running)
 
     def check_start(self, worker: EmulatedWorker, task: str) -> None:
@@ -63,17 +63,17 @@
             return
         self._report.faults.append("_give_notice")
         notice_s = rng.uniform(*NOTICE_S)
-        stays_s = notice_s + (rng.uniform(*LINGER_S) if rng.random() < LINGER_SHARE else 0.0)
-        is_taken_back = rng.random() < TAKEN_BACK_SHARE
-        if is_taken_back:
+        stays_s = notice_s + (rng.uniform(*OVERSTAY_S) if rng.random() < OVERSTAY_SHARE else 0.0)
+        is_withdrawn = rng.random() < WITHDRAWN_SHARE
+        if is_withdrawn:
             stays_s *= rng.random()
-        is_there = await self._count_down(worker, notice_s, stays_s)
-        if not is_there or is_taken_back:
+        is_up = await self._count_down(worker, notice_s, stays_s)
+        if not is_up or is_withdrawn:
             worker.state, worker.remaining_s = "ready", None
             return
         self._down.add(worker)
         await worker.leave()
-        await asyncio.sleep(rng.uniform(*AWAY_S))
+        await asyncio.sleep(rng.uniform(*DOWNTIME_S))
         worker.state, worker.remaining_s = "ready", None
         worker.start()
         self._down.discard(worker)
@@ -81,11 +81,11 @@
     @staticmethod
     async def _count_down(worker: EmulatedWorker, notice_s: float, stays_s: float) -> bool:
         """Let a worker report its remaining time; return False if its incarnation ends."""
-        life, began_at = worker.life_id, time.monotonic()
+        incarnation, began_at = worker.life_id, time.monotonic()
         worker.state = "draining"
         while time.monotonic() < began_at + stays_s:
             worker.remaining_s = max(0.0, began_at + notice_s - time.monotonic())
-            await asyncio.sleep(GRAIN_S)
-            if worker.is_down or worker.life_id != life:
+            await asyncio.sleep(UPDATE_INTERVAL_S)
+            if worker.is_down or worker.life_id != incarnation:
                 return False
         return True
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -9,12 +9,12 @@
 import struct
 import time
 
-LATE_S = 0.25
+PAUSE_S = 0.25
 """Pause of this process after which bytes in its sockets count as held back. It must be shorter
 than the 0.45 s after which owners close an unresponsive link, whose bytes must not arrive later."""
 TICK_S = 0.02
-"""Interval between two ticks that detect pauses of this process: far below :data:`LATE_S`."""
-DOUBT_S = 0.05
+"""Interval between two ticks that detect pauses of this process: far below :data:`PAUSE_S`."""
+AFTER_PAUSE_S = 0.05
 """Time after a pause for which bytes still count as held back: the tick may run in the same turn of
 the event loop before the sockets are read."""
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -50,7 +50,7 @@
         self.delay_s = 0.0
         self.address = ""
         self._ticked_at = time.monotonic()
-        self._doubted_until = 0.0
+        self._suspect_until = 0.0
         self._generation = 0
         """Connections of earlier generations discard all data."""
         self.heal()
@@ -90,7 +90,7 @@
         for event in [*self._open.values(), *self._passages]:
             event.set()
 
-    def swallow_open(self) -> None:
+    def discard_open(self) -> None:
         """Discard all data of the open connections permanently, without a reset; new ones work."""
         self._generation += 1
 
@@ -103,15 +103,15 @@
         """Record the time at short intervals; an old record means that this process was paused."""
         while True:
             now = time.monotonic()
-            if now - self._ticked_at > LATE_S:
-                self._doubted_until = now + DOUBT_S
+            if now - self._ticked_at > PAUSE_S:
+                self._suspect_until = now + AFTER_PAUSE_S
             self._ticked_at = now
             await asyncio.sleep(TICK_S)
 
-    def _stood_still(self) -> bool:
+    def _was_paused(self) -> bool:
         """Return whether this process was paused before the current read."""
         now = time.monotonic()
-        return now - self._ticked_at > LATE_S or now < self._doubted_until
+        return now - self._ticked_at > PAUSE_S or now < self._suspect_until
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         serving = asyncio.current_task()
@@ -153,7 +153,7 @@
         generation = self._generation
         with contextlib.suppress(OSError, asyncio.CancelledError):
             while data := await reader.read(CHUNK_BYTES):
-                if self._stood_still():
+                if self._was_paused():
                     reset_connection(writer)
                     return
                 if self.delay_s:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -21,7 +21,7 @@
     make_prefix,
     submit,
 )
-from tests.soak.cluster import SPARED, Cluster, Program
+from tests.soak.cluster import EVACUATED, Cluster, Program
 from tests.soak.crashes import CrashCount
 from tests.soak.departures import Departures
 from tests.soak.orders import OrderFaults
@@ -30,7 +30,7 @@
 from tests.soak.trace import Trace
 from tests.soak.writer import ForeignWriter
 
-CALM_S = 25.0
+READY_TIMEOUT_S = 25.0
 """Maximum time from the last fault until every entry serves jobs again."""
 CALLERS = 6
 LONG_CALLERS = 2
@@ -41,8 +41,8 @@
 """Relative speeds of the workers with ``load``, assigned in turn."""
 PROBE = "f" * 12 + "{:04x}"
 """Format of the ids of jobs that probe idle entries; callers use other ids."""
-PROBE_PATIENCE_S = 8.0
-SPARED_S = 1.0
+PROBE_TIMEOUT_S = 8.0
+EVACUATION_CHECK_S = 1.0
 """How long workers of an evacuated data centre are observed once all processes know of it."""
 
 
@@ -105,8 +105,8 @@
             for number, worker in enumerate(cluster.workers):
                 worker.on_start = partial(self._check_start, worker)
                 worker.on_crash = self._crashes.note_crash
-                worker.on_call = partial(self._take_call, number)
-            await self._wait_for_calm("at the start")
+                worker.on_call = partial(self._handle_call, number)
+            await self._wait_until_ready("at the start")
             callers = self._make_callers()
             calling = [asyncio.create_task(caller.run()) for caller in callers]
             watch = asyncio.create_task(self._watch_versions())
@@ -117,17 +117,17 @@
             seed, broken = self._report.seed, self._report.broken
             async with ForeignWriter(cluster=cluster, seed=seed, broken=broken):
                 await asyncio.gather(
-                    self._strike_for(seconds),
-                    self._orders.strike_for(seconds),
-                    self._departures.strike_for(seconds if self._load else 0.0),
+                    self._inject_for(seconds),
+                    self._orders.inject_for(seconds),
+                    self._departures.inject_for(seconds if self._load else 0.0),
                 )
             evacuations.cancel()
             resizes.cancel()
-            cluster.take_back()
-            await self._wait_for_calm("after the faults")
+            cluster.end_evacuation()
+            await self._wait_until_ready("after the faults")
             await self._check_evacuation()
             for caller in callers:
-                caller.leave()
+                caller.stop()
             await asyncio.gather(*calling)
             if self._load:
                 await self._check_served()
@@ -136,7 +136,7 @@
             await cluster.close()
             self._trace.close()
             self._report.preempted = self._cluster.count_preempted()
-        self._report.faults += self._orders.struck
+        self._report.faults += self._orders.injected
         return self._report
 
     def _make_callers(self) -> list[Caller]:
@@ -161,9 +161,9 @@
             for number, (kind, rng) in enumerate(zip(kinds, rngs, strict=True))
         ]
 
-    def _take_call(self, number: int, record: CallRecord) -> None:
+    def _handle_call(self, number: int, record: CallRecord) -> None:
         self._trace.note_call(number, record)
-        self._orders.take_call(self._cluster.workers[number], record)
+        self._orders.handle_call(self._cluster.workers[number], record)
 
     def _check_start(self, started_on: EmulatedWorker, task: str) -> None:
         self._check_alone(task)
@@ -191,16 +191,16 @@
                 state = await self._cluster.get_state(entry)
                 if state is None or state["configuration"] is None:
                     continue
-                life, version = state["incarnation"], state["configuration"]
-                known_life, known = self._versions.get(entry.name, ("", 0))
-                if life == known_life and version < known:
+                incarnation, version = state["incarnation"], state["configuration"]
+                known_incarnation, known = self._versions.get(entry.name, ("", 0))
+                if incarnation == known_incarnation and version < known:
                     self._report.broken.append(
                         f"{entry.name} went back from configuration {known} to {version}"
                     )
-                self._versions[entry.name] = (life, version)
+                self._versions[entry.name] = (incarnation, version)
             await asyncio.sleep(0.2)
 
-    async def _strike_for(self, seconds: float) -> None:
+    async def _inject_for(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
@@ -262,7 +262,7 @@
             proxy.reset()
             return
         if kind == "swallow":
-            proxy.swallow_open()
+            proxy.discard_open()
             return
         if kind == "delay":
             proxy.delay_s = self._rng.uniform(0.01, 0.3)
@@ -317,23 +317,23 @@
             await asyncio.sleep(self._operator_rng.uniform(0.5, 4.0))
             self._cluster.evacuate()
             await asyncio.sleep(self._operator_rng.uniform(0.5, 4.0))
-            self._cluster.take_back()
+            self._cluster.end_evacuation()
 
     async def _check_evacuation(self) -> None:
         """Check, without faults, that an evacuation takes effect and ends."""
         cluster = self._cluster
         cluster.evacuate()
-        await self._wait_for_evacuated([SPARED])
-        before = [len(worker.started) for worker in cluster.get_spared()]
-        await asyncio.sleep(SPARED_S)
-        if before != [len(worker.started) for worker in cluster.get_spared()]:
-            self._report.broken.append(f"tasks started in {SPARED} while it was evacuated")
-        cluster.take_back()
+        await self._wait_for_evacuated([EVACUATED])
+        before = [len(worker.started) for worker in cluster.get_evacuated_workers()]
+        await asyncio.sleep(EVACUATION_CHECK_S)
+        if before != [len(worker.started) for worker in cluster.get_evacuated_workers()]:
+            self._report.broken.append(f"tasks started in {EVACUATED} while it was evacuated")
+        cluster.end_evacuation()
         await self._wait_for_evacuated([])
 
     async def _check_served(self) -> None:
         """Check, without faults, that each idle entry serves an urgent job."""
-        give_up_at = asyncio.get_running_loop().time() + CALM_S
+        give_up_at = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         while not await self._is_idle():
             if asyncio.get_running_loop().time() > give_up_at:
                 self._report.broken.append("jobs or runs remain after all callers have stopped")
@@ -342,7 +342,7 @@
         body = make_body(text=make_text(0.05))
         for number, address in enumerate(self._cluster.callers):
             url = f"http://{address}{PREFIX}{PROBE.format(number)}"
-            answer = await submit(self._cluster, url, body, patience_s=PROBE_PATIENCE_S)
+            answer = await submit(self._cluster, url, body, timeout_s=PROBE_TIMEOUT_S)
             if answer != (200, "succeeded"):
                 self._report.broken.append(f"entry-{number} is idle but answers {answer}")
 
@@ -356,7 +356,7 @@
     async def _wait_for_evacuated(self, data_centres: list[str]) -> None:
         """Wait until every process knows that exactly these data centres are evacuated."""
         programs = [*self._cluster.entries, *self._cluster.agents]
-        give_up_at = asyncio.get_running_loop().time() + CALM_S
+        give_up_at = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         laggards = [program.name for program in programs]
         while laggards and asyncio.get_running_loop().time() < give_up_at:
             await asyncio.sleep(0.1)
@@ -368,16 +368,18 @@
                 f"evacuated data centres {data_centres} are not in force at {silent}"
             )
 
-    async def _wait_for_calm(self, when: str) -> None:
+    async def _wait_until_ready(self, when: str) -> None:
         """Wait until every entry has the latest configuration and a worker that accepts tasks."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + CALM_S
+        give_up_at = loop.time() + READY_TIMEOUT_S
         laggards = [entry.name for entry in self._cluster.entries]
         while laggards and loop.time() < give_up_at:
             await asyncio.sleep(0.1)
             laggards = [e.name for e in self._cluster.entries if not await self._serves(e)]
         if laggards:
-            self._report.broken.append(f"{when}: entries not ready within {CALM_S:g} s: {laggards}")
+            self._report.broken.append(
+                f"{when}: entries not ready within {READY_TIMEOUT_S:g} s: {laggards}"
+            )
 
     async def _serves(self, entry: Program) -> bool:
         state = await self._cluster.get_state(entry)
--- a/tests/soak/test_departures.py
+++ b/tests/soak/test_departures.py
@@ -18,7 +18,7 @@
         departures.check_start(worker, "task")
         return report.broken
 
-    def test_a_start_after_the_notice_was_known_for_long_is_told(self) -> None:
+    def test_a_start_after_the_notice_was_known_for_long_is_reported(self) -> None:
         async def scenario() -> None:
             async with LocalFleet(entries=1, workers=1) as fleet:
                 worker = fleet.workers[0]
--- a/tests/soak/test_load.py
+++ b/tests/soak/test_load.py
@@ -14,7 +14,9 @@
 
 
 class LoadSoakTests(AsyncTestCase):
-    def test_no_promise_is_broken_beside_notices_and_jobs_that_compete_for_room(self) -> None:
+    def test_no_guarantee_is_violated_beside_notices_and_jobs_that_compete_for_capacity(
+        self,
+    ) -> None:
         folder = LOGS / f"load-{SEED}"
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
--- a/tests/soak/test_preemption.py
+++ b/tests/soak/test_preemption.py
@@ -12,7 +12,7 @@
 
 
 class PreemptionSoakTests(AsyncTestCase):
-    def test_no_task_runs_twice_beside_urgent_jobs_that_take_room(self) -> None:
+    def test_no_task_runs_twice_beside_urgent_jobs_that_preempt_others(self) -> None:
         folder = LOGS / f"preemption-{SEED}"
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -8,7 +8,7 @@
 import time
 
 from tests.base import AsyncTestCase
-from tests.soak.proxy import LATE_S, Proxy, reset_connection
+from tests.soak.proxy import PAUSE_S, Proxy, reset_connection
 
 
 class HeldBytesTests(AsyncTestCase):
@@ -40,7 +40,7 @@
             await proxy.close()
             server.close()
 
-    def test_bytes_that_waited_while_the_proxy_stood_still_are_lost(self) -> None:
+    def test_bytes_that_waited_while_the_proxy_was_paused_are_lost(self) -> None:
         """A paused proxy must not deliver bytes if their sender may have reset the connection."""
 
         async def scenario() -> bytes:
@@ -58,7 +58,7 @@
             _, writer = await asyncio.open_connection(host, int(port))
             await asyncio.sleep(0.1)
             writer.write(b"sent before the pause")
-            time.sleep(2 * LATE_S)
+            time.sleep(2 * PAUSE_S)
             await asyncio.sleep(0.2)
             await proxy.close()
             server.close()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -22,7 +22,7 @@
 
 
 class SoakTests(AsyncTestCase):
-    def test_no_promise_is_broken_under_faults_in_series(self) -> None:
+    def test_no_guarantee_is_violated_under_faults_in_series(self) -> None:
         for seed in SEEDS:
             self.play(seed, workers=2, crashes=False)
 
--- a/tests/soak/writer.py
+++ b/tests/soak/writer.py
@@ -16,7 +16,7 @@
 
 PAUSE_S = (0.02, 0.4)
 """Range of pauses between two foreign inputs."""
-KNOWN_S = 25.0
+WORKERS_KNOWN_TIMEOUT_S = 25.0
 """Maximum time from the last foreign report until each agent knows its own worker."""
 ROWS = 6
 """Number of foreign rows per table; older ones are overwritten."""
@@ -94,7 +94,7 @@
 
     async def _leave_raw_row(self) -> None:
         """Write a row with fields of wrong types or of another partition."""
-        table, key = self._pick_place()
+        table, key = self._pick_row()
         row = {"key": key, "value": "e30=", "ver": 1}
         name = self._rng.choice(["key", "value", "ver", "part"])
         value = self._rng.choice([7, None, [], {}]) if name != "part" else "mine"
@@ -102,7 +102,7 @@
 
     async def _leave_bad_value(self) -> None:
         """Write a row whose value cannot be decoded or is not a document of its table."""
-        table, key = self._pick_place()
+        table, key = self._pick_row()
         store = self._cluster.store
         if self._rng.random() < 0.5:
             store.put_value(table, key, self._rng.choice(["", "%%", "/w==", "bnVsbA=="]))
@@ -133,7 +133,7 @@
     def _pick_id(self, worker: EmulatedWorker) -> str:
         return self._rng.choice([worker.worker_id, f"i-foreign-{self._rng.randrange(10**6)}"])
 
-    def _pick_place(self) -> tuple[str, str]:
+    def _pick_row(self) -> tuple[str, str]:
         number = self._rng.randrange(ROWS)
         key = self._rng.choice([f"a{number}", f"z{number}", "evacuate/", f"evacuate/{number}/x"])
         table = self._rng.choice(TABLES)
@@ -153,7 +153,7 @@
     async def _check_workers(self) -> None:
         """Wait until every agent knows the incarnation of its own worker."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + KNOWN_S
+        give_up_at = loop.time() + WORKERS_KNOWN_TIMEOUT_S
         wrong = await self._find_wrong()
         while wrong and loop.time() < give_up_at:
             await asyncio.sleep(0.1)
