--- a/tests/fleet/test_silent.py
+++ b/tests/fleet/test_silent.py
@@ -5,13 +5,17 @@
 import asyncio
 import itertools
 from collections.abc import Awaitable, Callable
-from typing import Any
-
 from dalemast.core.ownership import choose_home
 from dalemast.core.supervision import StartOutcome
 from tests.base import AsyncTestCase, wait_until
-from tests.fleet.base import LocalFleet, make_configuration, make_text
+from tests.fleet.base import (
+    LocalFleet,
+    make_configuration,
+    make_text,
+)
 from tests.soak.proxy import Proxy
+from typing import Any
+
 
 JOB = "00000000000000e{:x}"
 
@@ -50,7 +54,7 @@
 
     def _block(self, address: str) -> None:
         """Block all open connections to an address."""
-        self._proxies[address].swallow_open()
+        self._proxies[address].discard_open()
 
 
 class UnresponsiveConnectionTests(AsyncTestCase):
--- a/tests/histories/test_crashing_tasks.py
+++ b/tests/histories/test_crashing_tasks.py
@@ -1,15 +1,5 @@
-"""Tasks that end the worker they are started on, again and again.
-
-Two jobs took a service of eleven workers from all its callers for seven seconds. The agents' lines
-had one worker gone every 35 ms, at 8.511, 8.545, 8.580, 8.615, 8.650 s and so on, each with up to
-17 runs of other jobs, and workers that had just come back gone 22 ms later: one task, started
-anew wherever there was room, run after run (5 to 15 within 1.5 s). Agents told its owner that a run
-had been stopped, and only one that had failed counted as an attempt, so nothing ended the series
-but the caller's patience.
-
-A start is a start whoever makes it: the count has to outlast the owner, its links and the caller's
-next submission. And the jobs beside it are to be answered as if it were not there.
-"""
+"""Tasks that crash each worker they run on: the number of such starts must stay bounded, also when
+the owner, its links or the caller's connection are lost, and other jobs must be served as usual."""
 
 from __future__ import annotations
 
@@ -23,17 +13,17 @@
 WORKERS = 9
 AT_ONCE_S = 0.01
 LATER_S = 0.25
-"""How long after its start a task ends its worker."""
+"""Times from the start of a task to the crash of its worker."""
 SOUND_JOBS = 12
 SOUND_S = 0.4
 CRASHING = JobPlan(at_s=0.0, run_s=(1.0,), crash_s=(AT_ONCE_S,))
 LASTS_S = 12.0
-LEAST_SHARE = 0.95
-"""What of the sound jobs is answered well, where all of them are without the crashing one."""
+MIN_SHARE = 0.95
+"""Minimum share of the sound jobs that succeed."""
 
 
 def make_sound_jobs(entries: int) -> tuple[JobPlan, ...]:
-    """Return jobs of four tasks that arrive while the crashing one is open."""
+    """Return jobs of four tasks that arrive while the crashing job is open."""
     return tuple(
         JobPlan(at_s=0.05 * number, run_s=(SOUND_S,) * 4, entry=number % entries)
         for number in range(SOUND_JOBS)
@@ -60,8 +50,8 @@
                 jobs=(*crashing_now, *sound),
                 faults=faults,
                 entries=entries,
-                rates=(1.0,) * workers,
-                lasts_s=LASTS_S,
+                clock_rates=(1.0,) * workers,
+                duration_s=LASTS_S,
             )
             for seed in range(PLAYS // 2):
                 outcome = play(replace(drawn, seed=seed))
@@ -78,48 +68,48 @@
 
 
 def _set_crash_s(job: JobPlan, crash_s: float) -> JobPlan:
-    """Return a job whose tasks that end their workers do it after this time."""
+    """Return a copy of a job whose crashing tasks crash after ``crash_s``."""
     return replace(job, crash_s=tuple(at if at is None else crash_s for at in job.crash_s))
 
 
-class CalmTests(CrashTestCase):
-    """Nothing else goes wrong: sound jobs are served as without it, within 0.05."""
+class WithoutOtherFaultsTests(CrashTestCase):
+    """Without other faults, sound jobs must succeed beside crashing tasks."""
 
     def test_a_job_of_one_task(self) -> None:
-        self.assertGreaterEqual(self.play_all(entries=1), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(entries=1), MIN_SHARE)
 
     def test_a_job_of_one_task_beside_another_entry(self) -> None:
-        self.assertGreaterEqual(self.play_all(), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(), MIN_SHARE)
 
     def test_one_task_of_four(self) -> None:
         job = JobPlan(at_s=0.0, run_s=(1.0,) * 4, crash_s=(None, AT_ONCE_S, None, None))
-        self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(job,)), MIN_SHARE)
 
     def test_all_tasks_of_a_job(self) -> None:
-        """They begin together, so that all their first workers end: no more follow at once."""
+        """All tasks crash their first workers together; no burst of restarts must follow."""
         job = JobPlan(at_s=0.0, run_s=(1.0,) * 4, crash_s=(AT_ONCE_S,) * 4)
-        self.assertGreaterEqual(self.play_all(crashing=(job,)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(job,)), MIN_SHARE)
 
     def test_two_jobs_at_two_entries(self) -> None:
         other = replace(CRASHING, at_s=0.1, entry=1)
-        self.assertGreaterEqual(self.play_all(crashing=(CRASHING, other)), LEAST_SHARE)
+        self.assertGreaterEqual(self.play_all(crashing=(CRASHING, other)), MIN_SHARE)
 
 
 class SubmittedAgainTests(CrashTestCase):
-    """The caller asks again, for as long as it has no answer."""
+    """A caller that resubmits the job must not reset the number of its crashes."""
 
-    def test_unheard(self) -> None:
-        self.play_all(HangUp(job=0, at_s=0.04, is_heard=False))
+    def test_unnoticed(self) -> None:
+        self.play_all(HangUp(job=0, at_s=0.04, is_noticed=False))
 
-    def test_heard_four_times(self) -> None:
+    def test_noticed_four_times(self) -> None:
         self.play_all(*(HangUp(job=0, at_s=0.04 + 1.4 * number) for number in range(4)))
 
-    def test_heard_after_each_crash(self) -> None:
+    def test_noticed_after_each_crash(self) -> None:
         self.play_all(*(HangUp(job=0, at_s=0.03 + 1.32 * number) for number in range(6)))
 
 
 class LostOwnerTests(CrashTestCase):
-    """What knows of the crashes is lost, or out of reach, while the job is asked for again."""
+    """The number of crashes must survive processes that know it being killed or unreachable."""
 
     def test_the_owner_is_killed(self) -> None:
         self.play_all(Kill(process="entry-0", at_s=0.06, for_s=1.0))
@@ -131,7 +121,7 @@
         ]
         self.play_all(*kills)
 
-    def test_the_owner_stands_still(self) -> None:
+    def test_the_owner_is_paused(self) -> None:
         self.play_all(Freeze(process="entry-0", at_s=0.03, for_s=2.0))
 
     def test_the_owner_is_cut_off_from_agents(self) -> None:
--- a/tests/histories/test_preemption.py
+++ b/tests/histories/test_preemption.py
@@ -1,8 +1,5 @@
-"""Long tasks fill all workers, and urgent jobs take room from them, beside faults.
-
-A preempted task may begin again only once its run has surely ended, whoever fails between its stop
-and its second start.
-"""
+"""A preempted task may start again only once its first run has ended, whichever process fails
+between the stop and the second start."""
 
 from __future__ import annotations
 
@@ -24,22 +21,24 @@
 
 LONG_JOB, URGENT_JOB = 1, 2
 DRAWN = 60
-"""Played in about 12 s."""
-LEAST_PREEMPTIONS = 100
-LEAST_DONE = 200
+MIN_PREEMPTIONS = 100
+MIN_DONE = 200
 URGENT_AT_S = 1.0
-ASKED_S = 0.12
-"""When an urgent job asks for room to be made: a fifth of its slack after its arrival, and a turn.
-"""
-STOPPING_AT_S = URGENT_AT_S + ASKED_S + 0.08
-"""In the time between the stop and the second start, while stops are carried out late."""
+REQUEST_DELAY_S = 0.12
+"""Time from the arrival of an urgent job to its request for capacity: a fifth of its slack and one
+turn of the event loop."""
+STOPPING_AT_S = URGENT_AT_S + REQUEST_DELAY_S + 0.08
+"""Between the stop and the second start, while stops are executed late."""
 
 
 class FailureTests(unittest.TestCase):
-    """One failure while a run is being stopped for an urgent job."""
+    """One failure while a run is being preempted must not let its task run twice."""
 
     def play(self, *faults: Fault, entries: int = 1) -> Outcome:
-        """Play a short job that earns the stops, long ones that fill the workers, an urgent one."""
+        """Play a short job, long jobs that fill the workers, and an urgent job that preempts them.
+
+        The short job completes work first, which preemption requires before it may stop runs.
+        """
         late_stops = tuple(
             CallFault(
                 worker=f"worker-{number}",
@@ -61,14 +60,14 @@
             faults=(*late_stops, *faults),
             entries=entries,
             preempts=True,
-            lasts_s=12.0,
+            duration_s=12.0,
         )
         outcome = play(history)
         trace = "\n".join(outcome.trace)
         self.assertEqual([], outcome.broken, trace)
         self.assertGreaterEqual(outcome.preemptions, 1, trace)
         self.assertEqual("succeeded", outcome.states[LONG_JOB], trace)
-        # It may be turned away as not run where all agents or workers are out of reach.
+        # It may be rejected before it runs if all agents or workers are unreachable.
         self.assertIn(outcome.states[URGENT_JOB], ("succeeded", "refused"), trace)
         return outcome
 
@@ -80,7 +79,7 @@
     def test_the_owner_is_killed(self) -> None:
         self.play(Kill(process="entry-0", at_s=STOPPING_AT_S, for_s=0.3), entries=2)
 
-    def test_the_owner_stands_still(self) -> None:
+    def test_the_owner_is_paused(self) -> None:
         self.play(Freeze(process="entry-0", at_s=STOPPING_AT_S, for_s=1.0), entries=2)
 
     def test_the_agents_are_killed(self) -> None:
@@ -104,10 +103,10 @@
 
 
 class DrawnTests(unittest.TestCase):
-    def test_no_promise_is_broken(self) -> None:
+    def test_no_guarantee_is_violated(self) -> None:
         outcomes = [play(draw_preemption_history(seed)) for seed in range(DRAWN)]
         broken = [(seed, o.broken[0]) for seed, o in enumerate(outcomes) if o.broken]
         self.assertEqual([], broken)
-        self.assertGreater(sum(o.preemptions for o in outcomes), LEAST_PREEMPTIONS)
+        self.assertGreater(sum(o.preemptions for o in outcomes), MIN_PREEMPTIONS)
         done = sum(o.answers.count("JobDone") for o in outcomes)
-        self.assertGreater(done, LEAST_DONE)
+        self.assertGreater(done, MIN_DONE)
--- a/tests/histories/test_suspended_hosts.py
+++ b/tests/histories/test_suspended_hosts.py
@@ -1,10 +1,5 @@
-"""Hosts that are suspended for seconds: the steady clock does not count the time.
-
-An entry that stood still finds out by the time between two of its ticks, and gives up what others
-may have been granted meanwhile. Its steady clock told it that nothing had happened: it went on
-where it had stopped, with claims that had lapsed, with runs that its agents had ended, and with
-tasks that another entry had started for the caller's next submission.
-"""
+"""An entry whose host was suspended must not continue with expired claims and runs: the monotonic
+clock does not count the suspension, so pauses between ticks do not show it."""
 
 from __future__ import annotations
 
@@ -15,22 +10,21 @@
 from tests.histories.test_orders import AT_ONCE_S, LONG_S, OrdersTestCase
 
 BROKEN_SEEDS = (555, 675, 945, 1137, 1883, 3336)
-"""Drawn histories in which a task ran twice, of 4,000. With frozen processes in place of suspended
-hosts none of them does."""
+"""Regressions: a task ran twice, because the monotonic clock had not counted a suspension."""
 DRAWN = 120
 FOR_S = (0.3, 0.8, 1.5, 3.0)
-"""Within an agent's patience, within the chain of times, beyond it, and beyond the next submission
-of the job."""
+"""Shorter than an agent's timeout, shorter than the time until lost runs count as ended, longer
+than that time, and longer than the time until the caller resubmits the job."""
 WAITING = (JobPlan(at_s=0.0, run_s=(0.9,) * 8), JobPlan(at_s=0.01, run_s=(LONG_S,)))
-"""The second one waits for room as its entry stands still."""
+"""The second job waits for capacity while its entry is suspended."""
 
 
 class SuspendedEntryTests(OrdersTestCase):
-    def test_its_caller_asks_another_one(self) -> None:
+    def test_its_caller_resubmits_to_another_entry(self) -> None:
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=0.2, for_s=for_s),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
@@ -38,15 +32,15 @@
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=AT_ONCE_S, for_s=for_s),
-                HangUp(job=0, at_s=0.05, is_heard=False),
+                HangUp(job=0, at_s=0.05, is_noticed=False),
                 entries=2,
             )
 
-    def test_what_waits_there_is_asked_for_elsewhere(self) -> None:
+    def test_a_job_waiting_there_is_resubmitted_elsewhere(self) -> None:
         for for_s in FOR_S:
             self.check(
                 Suspend(process="entry-0", at_s=0.1, for_s=for_s),
-                HangUp(job=1, at_s=0.15, is_heard=False),
+                HangUp(job=1, at_s=0.15, is_noticed=False),
                 jobs=WAITING,
                 entries=2,
             )
@@ -56,7 +50,7 @@
             self.check(
                 Suspend(process="entry-0", at_s=0.2, for_s=for_s),
                 Suspend(process="entry-0", at_s=0.21 + for_s, for_s=for_s),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
@@ -81,7 +75,7 @@
                 Suspend(process="agent-1", at_s=0.2, for_s=for_s),
                 Cut(sender="entry-0", receiver="agent-0", at_s=0.1 + for_s, for_s=1.0),
                 Cut(sender="entry-0", receiver="agent-1", at_s=0.1 + for_s, for_s=1.0),
-                HangUp(job=0, at_s=0.25, is_heard=False),
+                HangUp(job=0, at_s=0.25, is_noticed=False),
                 entries=2,
             )
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One seeded run: callers submit, faults strike in series that overlap, promises are checked."""
+"""One soak run: callers submit jobs under overlapping seeded faults, and guarantees are checked."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     make_prefix,
     submit,
 )
-from tests.soak.cluster import SPARED, Cluster, Program
+from tests.soak.cluster import EVACUATED, Cluster, Program
 from tests.soak.crashes import CrashCount
 from tests.soak.departures import Departures
 from tests.soak.orders import OrderFaults
@@ -30,27 +30,30 @@
 from tests.soak.trace import Trace
 from tests.soak.writer import ForeignWriter
 
-CALM_S = 25.0
-"""Longest time after the last fault until every entry serves again."""
+READY_TIMEOUT_S = 25.0
+"""Maximum time from the last fault until every entry serves jobs again."""
 CALLERS = 6
 LONG_CALLERS = 2
-"""Callers whose tasks go on while links are cut, processes stand still and stops are lost."""
+"""Callers whose tasks are long enough to overlap with cuts, pauses and lost stops."""
 LESS_URGENT_CALLERS = 4
-"""Callers of less urgent jobs for each worker of eight cores: their tasks fill it."""
+"""Callers of less urgent jobs per worker, enough for their tasks to fill its eight cores."""
 SPEEDS = (1.0, 0.6, 1.6)
-"""How many times as fast as usual workers are, in turn, with ``load``."""
+"""Relative speeds of the workers with ``load``, assigned in turn."""
 PROBE = "f" * 12 + "{:04x}"
-"""Ids of the jobs that are submitted when nothing else runs; no caller has such."""
-PROBE_PATIENCE_S = 8.0
-SPARED_S = 1.0
-"""How long the workers of an evacuated data centre are watched once every process knows."""
+"""Format of the ids of jobs that probe idle entries; callers use other ids."""
+PROBE_TIMEOUT_S = 8.0
+EVACUATION_CHECK_S = 1.0
+"""How long workers of an evacuated data centre are observed once all processes know of it."""
 
 
 class Soak:
-    """One run. With ``crashes`` some tasks crash their workers, which keep their ids, and whose
-    room shrinks and grows. With ``preempts`` callers of less urgent jobs fill the workers, and the
-    others' take room from them. With ``load`` they do so too, all decisions under load are made,
-    workers are uneven, and some leave with notice."""
+    """One run of the soak test.
+
+    With ``crashes``, some tasks crash their workers, which keep their ids and are resized. With
+    ``preempts``, less urgent jobs fill the workers and other jobs preempt them. ``load`` includes
+    ``preempts``, enables all decisions under load, and has workers of unequal speeds, some of which
+    leave with notice.
+    """
 
     def __init__(
         self,
@@ -65,7 +68,7 @@
     ) -> None:
         self._rng = random.Random(seed)
         self._operator_rng = random.Random(f"evacuations of {seed}")
-        """Draws of its own, so that a seed that once failed still strikes with the same faults."""
+        """A separate generator, so that evacuations do not change the other faults of a seed."""
         self._resize_rng = random.Random(f"resizes of {seed}")
         self._long_rng = random.Random(f"long jobs of {seed}")
         self._crashing_kinds = CRASHING_JOBS if crashes else ()
@@ -89,21 +92,21 @@
         self._trace = Trace(folder=folder)
         self._versions: dict[str, tuple[str, int]] = {}
         self._crashed: set[EmulatedWorker] = set()
-        """Workers that are down: an overlapping fault must not start them twice on one port."""
+        """Workers that are down; an overlapping fault must not start them twice on one port."""
         self._departures = Departures(
             cluster=self._cluster, report=self._report, down=self._crashed
         )
 
     async def play(self, *, seconds: float) -> Report:
-        """Play and return what was seen."""
+        """Run the soak test and return its report."""
         cluster = self._cluster
         await cluster.start()
         try:
             for number, worker in enumerate(cluster.workers):
                 worker.on_start = partial(self._check_start, worker)
                 worker.on_crash = self._crashes.note_crash
-                worker.on_call = partial(self._take_call, number)
-            await self._wait_for_calm("at the start")
+                worker.on_call = partial(self._handle_call, number)
+            await self._wait_until_ready("at the start")
             callers = self._make_callers()
             calling = [asyncio.create_task(caller.run()) for caller in callers]
             watch = asyncio.create_task(self._watch_versions())
@@ -114,17 +117,17 @@
             seed, broken = self._report.seed, self._report.broken
             async with ForeignWriter(cluster=cluster, seed=seed, broken=broken):
                 await asyncio.gather(
-                    self._strike_for(seconds),
-                    self._orders.strike_for(seconds),
-                    self._departures.strike_for(seconds if self._load else 0.0),
+                    self._inject_for(seconds),
+                    self._orders.inject_for(seconds),
+                    self._departures.inject_for(seconds if self._load else 0.0),
                 )
             evacuations.cancel()
             resizes.cancel()
-            cluster.take_back()
-            await self._wait_for_calm("after the faults")
+            cluster.end_evacuation()
+            await self._wait_until_ready("after the faults")
             await self._check_evacuation()
             for caller in callers:
-                caller.leave()
+                caller.stop()
             await asyncio.gather(*calling)
             if self._load:
                 await self._check_served()
@@ -133,11 +136,11 @@
             await cluster.close()
             self._trace.close()
             self._report.preempted = self._cluster.count_preempted()
-        self._report.faults += self._orders.struck
+        self._report.faults += self._orders.injected
         return self._report
 
     def _make_callers(self) -> list[Caller]:
-        """Make callers of short jobs, and some of long ones with draws of their own."""
+        """Make all callers; those of other than short jobs have random generators of their own."""
         kinds = [SHORT_JOBS] * CALLERS + [LONG_JOBS] * LONG_CALLERS
         rngs = [self._rng] * CALLERS + [self._long_rng] * LONG_CALLERS
         for number, kind in enumerate(self._crashing_kinds):
@@ -158,18 +161,20 @@
             for number, (kind, rng) in enumerate(zip(kinds, rngs, strict=True))
         ]
 
-    def _take_call(self, number: int, record: CallRecord) -> None:
+    def _handle_call(self, number: int, record: CallRecord) -> None:
         self._trace.note_call(number, record)
-        self._orders.take_call(self._cluster.workers[number], record)
+        self._orders.handle_call(self._cluster.workers[number], record)
 
     def _check_start(self, started_on: EmulatedWorker, task: str) -> None:
         self._check_alone(task)
         self._departures.check_start(started_on, task)
         if task.partition(".")[0] in self._report.refused_jobs:
-            self._report.broken.append(f"{task} begins after its job was refused as not run")
+            self._report.broken.append(f"{task} started after its job was refused as not run")
         for worker in self._cluster.workers:
             if task in worker.active_tasks and worker.is_overloaded:
-                self._report.broken.append(f"{task} begins on {worker.worker_id} beyond its room")
+                self._report.broken.append(
+                    f"{task} started on {worker.worker_id} beyond its capacity"
+                )
         self._crashes.note_start(task)
 
     def _check_alone(self, task: str) -> None:
@@ -180,20 +185,22 @@
             self._trace.note_broken(task, running)
 
     async def _watch_versions(self) -> None:
-        """Check that within one life of an entry its configuration never goes back."""
+        """Check that the configuration version of an entry incarnation never decreases."""
         while True:
             for entry in self._cluster.entries:
                 state = await self._cluster.get_state(entry)
                 if state is None or state["configuration"] is None:
                     continue
-                life, version = state["incarnation"], state["configuration"]
-                known_life, known = self._versions.get(entry.name, ("", 0))
-                if life == known_life and version < known:
-                    self._report.broken.append(f"{entry.name} went from {known} to {version}")
-                self._versions[entry.name] = (life, version)
+                incarnation, version = state["incarnation"], state["configuration"]
+                known_incarnation, known = self._versions.get(entry.name, ("", 0))
+                if incarnation == known_incarnation and version < known:
+                    self._report.broken.append(
+                        f"{entry.name} went back from configuration {known} to {version}"
+                    )
+                self._versions[entry.name] = (incarnation, version)
             await asyncio.sleep(0.2)
 
-    async def _strike_for(self, seconds: float) -> None:
+    async def _inject_for(self, seconds: float) -> None:
         loop = asyncio.get_running_loop()
         end_at = loop.time() + seconds
         running: set[asyncio.Task[None]] = set()
@@ -255,7 +262,7 @@
             proxy.reset()
             return
         if kind == "swallow":
-            proxy.swallow_open()
+            proxy.discard_open()
             return
         if kind == "delay":
             proxy.delay_s = self._rng.uniform(0.01, 0.3)
@@ -295,7 +302,7 @@
         self._crashed.discard(worker)
 
     async def _resize_now_and_then(self) -> None:
-        """Let workers' room shrink and grow, beside the faults."""
+        """Resize workers at random times."""
         while True:
             await asyncio.sleep(self._resize_rng.uniform(0.5, 3.0))
             worker = self._resize_rng.choice(self._cluster.workers)
@@ -305,51 +312,51 @@
         self._cluster.change_configuration()
 
     async def _evacuate_now_and_then(self) -> None:
-        """Let the operator evacuate a data centre and take it back, beside the faults."""
+        """Start and end evacuations of a data centre at random times."""
         while True:
             await asyncio.sleep(self._operator_rng.uniform(0.5, 4.0))
             self._cluster.evacuate()
             await asyncio.sleep(self._operator_rng.uniform(0.5, 4.0))
-            self._cluster.take_back()
+            self._cluster.end_evacuation()
 
     async def _check_evacuation(self) -> None:
-        """Check in calm that an evacuation is kept to, and that it ends when it is taken back."""
+        """Check, without faults, that an evacuation takes effect and ends."""
         cluster = self._cluster
         cluster.evacuate()
-        await self._wait_for_evacuated([SPARED])
-        before = [len(worker.started) for worker in cluster.get_spared()]
-        await asyncio.sleep(SPARED_S)
-        if before != [len(worker.started) for worker in cluster.get_spared()]:
-            self._report.broken.append(f"tasks started in {SPARED} while it was evacuated")
-        cluster.take_back()
+        await self._wait_for_evacuated([EVACUATED])
+        before = [len(worker.started) for worker in cluster.get_evacuated_workers()]
+        await asyncio.sleep(EVACUATION_CHECK_S)
+        if before != [len(worker.started) for worker in cluster.get_evacuated_workers()]:
+            self._report.broken.append(f"tasks started in {EVACUATED} while it was evacuated")
+        cluster.end_evacuation()
         await self._wait_for_evacuated([])
 
     async def _check_served(self) -> None:
-        """Check in calm that each entry serves an urgent job while nothing runs or waits."""
-        give_up_at = asyncio.get_running_loop().time() + CALM_S
+        """Check, without faults, that each idle entry serves an urgent job."""
+        give_up_at = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         while not await self._is_idle():
             if asyncio.get_running_loop().time() > give_up_at:
-                self._report.broken.append("jobs or runs are left though all callers have gone")
+                self._report.broken.append("jobs or runs remain after all callers have stopped")
                 return
             await asyncio.sleep(0.1)
         body = make_body(text=make_text(0.05))
         for number, address in enumerate(self._cluster.callers):
             url = f"http://{address}{PREFIX}{PROBE.format(number)}"
-            answer = await submit(self._cluster, url, body, patience_s=PROBE_PATIENCE_S)
+            answer = await submit(self._cluster, url, body, timeout_s=PROBE_TIMEOUT_S)
             if answer != (200, "succeeded"):
-                self._report.broken.append(f"entry-{number} is idle and answers {answer}")
+                self._report.broken.append(f"entry-{number} is idle but answers {answer}")
 
     async def _is_idle(self) -> bool:
-        """Tell whether no worker runs anything and no entry has a job."""
+        """Return whether no worker has a run and no entry has a job."""
         if any(worker.active_tasks for worker in self._cluster.workers):
             return False
         states = [await self._cluster.get_state(entry) for entry in self._cluster.entries]
         return all(state is not None and state["open_jobs"] == 0 for state in states)
 
     async def _wait_for_evacuated(self, data_centres: list[str]) -> None:
-        """Wait until every process spares these data centres and no others."""
+        """Wait until every process knows that exactly these data centres are evacuated."""
         programs = [*self._cluster.entries, *self._cluster.agents]
-        give_up_at = asyncio.get_running_loop().time() + CALM_S
+        give_up_at = asyncio.get_running_loop().time() + READY_TIMEOUT_S
         laggards = [program.name for program in programs]
         while laggards and asyncio.get_running_loop().time() < give_up_at:
             await asyncio.sleep(0.1)
@@ -357,18 +364,22 @@
             laggards = [n for n, state in states if not state or state["evacuated"] != data_centres]
         if laggards:
             silent = [program.describe() for program in programs if program.name in laggards]
-            self._report.broken.append(f"evacuated {data_centres} is not known to {silent}")
+            self._report.broken.append(
+                f"evacuated data centres {data_centres} are not in force at {silent}"
+            )
 
-    async def _wait_for_calm(self, when: str) -> None:
-        """Wait until every entry has the newest version and a worker that takes tasks."""
+    async def _wait_until_ready(self, when: str) -> None:
+        """Wait until every entry has the latest configuration and a worker that accepts tasks."""
         loop = asyncio.get_running_loop()
-        give_up_at = loop.time() + CALM_S
+        give_up_at = loop.time() + READY_TIMEOUT_S
         laggards = [entry.name for entry in self._cluster.entries]
         while laggards and loop.time() < give_up_at:
             await asyncio.sleep(0.1)
             laggards = [e.name for e in self._cluster.entries if not await self._serves(e)]
         if laggards:
-            self._report.broken.append(f"{when} these did not serve again: {laggards}")
+            self._report.broken.append(
+                f"{when}: entries not ready within {READY_TIMEOUT_S:g} s: {laggards}"
+            )
 
     async def _serves(self, entry: Program) -> bool:
         state = await self._cluster.get_state(entry)
--- a/tests/soak/test_load.py
+++ b/tests/soak/test_load.py
@@ -1,4 +1,5 @@
-"""A short seeded run of the soak with all decisions under load, uneven workers and notices."""
+"""A short soak run with all decisions under load, workers of unequal speeds and departures must
+violate no guarantee."""
 
 from __future__ import annotations
 
@@ -13,7 +14,9 @@
 
 
 class LoadSoakTests(AsyncTestCase):
-    def test_no_promise_is_broken_beside_notices_and_jobs_that_compete_for_room(self) -> None:
+    def test_no_guarantee_is_violated_beside_notices_and_jobs_that_compete_for_capacity(
+        self,
+    ) -> None:
         folder = LOGS / f"load-{SEED}"
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
--- a/tests/soak/test_preemption.py
+++ b/tests/soak/test_preemption.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak with preemption: less urgent jobs fill the workers."""
+"""A short soak run in which urgent jobs preempt others must not run a task twice."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class PreemptionSoakTests(AsyncTestCase):
-    def test_no_task_runs_twice_beside_urgent_jobs_that_take_room(self) -> None:
+    def test_no_task_runs_twice_beside_urgent_jobs_that_preempt_others(self) -> None:
         folder = LOGS / f"preemption-{SEED}"
         shutil.rmtree(folder, ignore_errors=True)
         folder.mkdir(parents=True)
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy holds to what the platform says of bytes that a cut holds up."""
+"""The proxy must treat held bytes as the platform does, or the soak test reports false failures."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import time
 
 from tests.base import AsyncTestCase
-from tests.soak.proxy import LATE_S, Proxy, reset_connection
+from tests.soak.proxy import PAUSE_S, Proxy, reset_connection
 
 
 class HeldBytesTests(AsyncTestCase):
     async def _pass_on(self, *, resets: bool) -> bytes:
-        """Send bytes that are held up, end the sending side, heal; return what arrives."""
+        """Send bytes while they are held back, end the sender, heal, and return what arrives."""
         arrived: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -40,8 +40,8 @@
             await proxy.close()
             server.close()
 
-    def test_bytes_that_waited_while_the_proxy_stood_still_are_lost(self) -> None:
-        """Seed 914339: on a crowded machine the proxy stood still for more than a second."""
+    def test_bytes_that_waited_while_the_proxy_was_paused_are_lost(self) -> None:
+        """A paused proxy must not deliver bytes if their sender may have reset the connection."""
 
         async def scenario() -> bytes:
             arrived: list[bytes] = []
@@ -58,7 +58,7 @@
             _, writer = await asyncio.open_connection(host, int(port))
             await asyncio.sleep(0.1)
             writer.write(b"sent before the pause")
-            time.sleep(2 * LATE_S)
+            time.sleep(2 * PAUSE_S)
             await asyncio.sleep(0.2)
             await proxy.close()
             server.close()
@@ -73,7 +73,7 @@
         self.assertEqual(b"held up", self.run_async(self._pass_on(resets=False)))
 
     def test_a_cut_holds_up_the_end_of_a_connection_too(self) -> None:
-        """Both ends learn of it once the cut is over, as if no packet had passed."""
+        """Neither end may detect the end of the connection before the cut is over."""
 
         async def scenario() -> None:
             ended = asyncio.Event()
