--- a/tests/fleet/test_silent.py
+++ b/tests/fleet/test_silent.py
@@ -5,6 +5,8 @@
 import asyncio
 import itertools
 from collections.abc import Awaitable, Callable
+from typing import Any
+
 from dalemast.core.ownership import choose_home
 from dalemast.core.supervision import StartOutcome
 from tests.base import AsyncTestCase, wait_until
@@ -14,8 +16,6 @@
     make_text,
 )
 from tests.soak.proxy import Proxy
-from typing import Any
-
 
 JOB = "00000000000000e{:x}"
 
--- a/tests/histories/fleet.py
+++ b/tests/histories/fleet.py
@@ -12,6 +12,12 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Iterator
+from types import SimpleNamespace
+from typing import Any
+from unittest import mock
+
+import msgspec
+
 from dalemast.core.workloads import (
     JobRequest,
     Resources,
@@ -31,7 +37,7 @@
     ListenerSettings,
 )
 from dalemast.settings.fleet import BackendSettings, LoadSettings
-from tests.histories.backends import ModelRegistration, QUEUES
+from tests.histories.backends import QUEUES, ModelRegistration
 from tests.histories.base import (
     CallFault,
     Cut,
@@ -64,12 +70,6 @@
     StartedRun,
     TaskSpec,
 )
-from types import SimpleNamespace
-from typing import Any
-from unittest import mock
-
-import msgspec
-
 
 __all__ = ["ModelFleet"]
 
--- a/tests/histories/worker.py
+++ b/tests/histories/worker.py
@@ -7,13 +7,18 @@
 
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+import msgspec
+
 from dalemast.core.supervision import WorkerIncarnation
 from dalemast.core.workloads import Resources
 from dalemast.emulator.runs import EmulatedRuns, Order
 from dalemast.platform.incarnations import make_incarnation_id
 from dalemast.platform.wire import (
-    ClockResponse,
     EXPECTED_INCARNATION_HEADER,
+    ClockResponse,
     HoldResponse,
 )
 from dalemast.platform.worker import (
@@ -21,7 +26,6 @@
     START_PATH,
     STOP_PATH,
 )
-from dataclasses import dataclass
 from tests.histories.base import CallEffect, CallFault
 from tests.histories.clock import (
     EPOCH_S,
@@ -29,10 +33,6 @@
     Timeline,
 )
 from tests.histories.network import End
-from typing import Any
-
-import msgspec
-
 
 __all__ = ["SERVICE", "ModelWorker", "StartedRun", "TaskSpec"]
 
