--- a/dalemast/core/ownership/link_selection.py
+++ b/dalemast/core/ownership/link_selection.py
@@ -50,6 +50,6 @@
         return {entry.name for entry in known}
     local = rank_entries(agent, (entry.name for entry in known if entry.is_same_data_centre))
     others = rank_entries(agent, (entry.name for entry in known if not entry.is_same_data_centre))
-    # If there are too few entries of one kind, choose more of the other.
+    # If one group has too few entries, choose more of the other.
     local = local[: max(bounds.same_data_centre, bounds.total - len(others))]
     return {*local, *others[: bounds.total - len(local)]}
--- a/dalemast/core/placement/health.py
+++ b/dalemast/core/placement/health.py
@@ -262,7 +262,7 @@
             self._update_standing(worker, record, now, workers)
 
     def tick(self, *, now: float) -> bool:
-        """Put workers whose ejection has ended on probation; return whether there were any."""
+        """Start the probation of workers whose ejection has ended; return whether any did."""
         is_changed = False
         for name in self._restricted:
             record = self._records[name]
@@ -353,6 +353,6 @@
                 monitor.postpone_trial(worker=worker, now=now)
 
     def tick(self, *, now: float) -> bool:
-        """Put workers whose ejection has ended on probation; return whether there were any."""
+        """Start the probation of workers whose ejection has ended; return whether any did."""
         changes = [monitor.tick(now=now) for monitor in self._monitors.values()]
         return any(changes)
--- a/dalemast/core/scheduling/crashes.py
+++ b/dalemast/core/scheduling/crashes.py
@@ -92,7 +92,8 @@
         self._jobs: dict[str, JobCrashes] = {}
         """By job id, in the order of the last crash."""
         self._unconfirmed_incarnations: set[str] = set()
-        """Incarnations with unconfirmed ends; some may have been confirmed since."""
+        """Incarnations for which an unconfirmed end was recorded, so that
+        :meth:`clear_unconfirmed` skips all others. A later confirmation does not remove them."""
 
     def __len__(self) -> int:
         return len(self._jobs)
--- a/dalemast/core/scheduling/numbers.py
+++ b/dalemast/core/scheduling/numbers.py
@@ -1,7 +1,7 @@
-"""The last run numbers of jobs that were given up, to continue from when they are submitted again.
+"""The last run numbers of abandoned jobs, from which numbering continues if they are resubmitted.
 
-If numbering restarted, late reports on the earlier runs would be taken for the new ones, and a
-worker would refuse a number that it has already received.
+If numbering restarted, late reports on earlier runs would be mistaken for reports on new runs, and
+a worker would refuse a number that it has already received.
 """
 
 from __future__ import annotations
--- a/dalemast/core/scheduling/racks.py
+++ b/dalemast/core/scheduling/racks.py
@@ -15,7 +15,7 @@
 __all__ = ["RackDemand"]
 
 HALF_LIFE_S = 2.0
-"""Time in which the weight of a job in the demand halves, in seconds."""
+"""Time after which a job counts half as much in the demand, in seconds."""
 MAX_RACKS = 1024
 """Maximum number of racks stored per service, since callers may name any rack."""
 MIN_CORE_S = 1e-6
--- a/dalemast/core/supervision/preemption.py
+++ b/dalemast/core/supervision/preemption.py
@@ -36,8 +36,8 @@
 MIN_GAIN = 2.0
 """Minimum remaining time of a run that is preempted, as a multiple of the time a stop takes."""
 HOLD_S = 0.05
-"""How long freed capacity is reserved for its owner: enough for a report to the owner and its start
-to arrive from a busy host."""
+"""Time for which freed capacity is reserved for the owner that requested it, in seconds. Within it,
+the owner must receive the report and the agent the owner's start."""
 MAX_RESERVATION_S = 1.0
 """Maximum duration of a reservation, since a stop may be lost."""
 MAX_REQUEST_AGE_S = 0.25
--- a/dalemast/core/supervision/slow.py
+++ b/dalemast/core/supervision/slow.py
@@ -10,8 +10,8 @@
 __all__ = ["get_slow_report"]
 
 SLOW_FACTOR = 1.8
-"""Ratio of a run's estimated total time to its expected time from which it is reported. It allows
-for errors of expected times and for usual differences between workers."""
+"""A run is reported as slow if its total time, estimated from its progress, is at least this
+multiple of its expected time."""
 SLOW_REPORT_INTERVAL_S = 0.3
 """Minimum interval between two reports on one run."""
 
--- a/dalemast/fleet/address_book.py
+++ b/dalemast/fleet/address_book.py
@@ -36,7 +36,7 @@
 
     @property
     def addresses(self) -> list[str]:
-        """All known addresses."""
+        """All addresses, including those whose entry has not been identified yet."""
         return list(self._members)
 
     def set_metrics(self, metrics: Metrics) -> None:
--- a/dalemast/fleet/agent/process.py
+++ b/dalemast/fleet/agent/process.py
@@ -145,7 +145,7 @@
 
     @property
     def _is_busy(self) -> bool:
-        """Whether there is any work on the worker."""
+        """Whether the worker must be polled, as in :attr:`Supervisor.has_work`."""
         return self._supervisor.has_work
 
     def _tick(self) -> None:
--- a/dalemast/fleet/entry/agents.py
+++ b/dalemast/fleet/entry/agents.py
@@ -293,7 +293,8 @@
             return
         capacity = Resources(cpu=message.cpu, memory_mb=message.memory_mb, gpu=message.gpu)
         if message.id and message.id == session.worker:
-            # A repeated report. The stops that follow from the first one are sent already.
+            # The agent has repeated its report. The stops that resulted from the first one were
+            # sent then, so only the capacity is updated.
             self._scheduler.resize_worker(message.id, capacity)
             session.link.send(Reconciled(number=message.number))
             return
--- a/dalemast/fleet/entry/job_tracker.py
+++ b/dalemast/fleet/entry/job_tracker.py
@@ -142,7 +142,11 @@
         return job is not None and job.is_submitted
 
     async def run(self, request: JobRequest) -> JobOutcome:
-        """Run a job to its end. A second submission of its id takes over the first one's job."""
+        """Run a job to its end.
+
+        If its id is submitted again, the job continues for the later submission and the earlier one
+        is answered as dropped.
+        """
         now = clock.monotonic()
         earlier = self._open.get(request.id)
         if earlier is not None:
--- a/dalemast/fleet/entry/routes.py
+++ b/dalemast/fleet/entry/routes.py
@@ -50,9 +50,10 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AgentReport:
-    """The incarnations of entries that an agent reaches, as of the request it last responded to.
+    """An agent's response to the request ``request_number`` for the entries that it can reach.
 
-    ``left_jobs`` are the jobs with runs there whose owner the agent does not reach.
+    ``entries`` holds their incarnations; ``left_jobs`` holds the ids of jobs that have runs on the
+    agent's worker but whose owner the agent cannot reach.
     """
 
     request_number: int
--- a/dalemast/fleet/entry/rows.py
+++ b/dalemast/fleet/entry/rows.py
@@ -20,7 +20,7 @@
 
 
 def make_capacity_request_row(want: CapacityRequest | None) -> CapacityRequestRow | None:
-    """Return the row of a capacity request, with its rank rounded to 0.1 ms."""
+    """Return the row of a capacity request; the times in its rank are rounded to 0.1 ms."""
     if want is None:
         return None
     return CapacityRequestRow(
--- a/dalemast/fleet/links/base.py
+++ b/dalemast/fleet/links/base.py
@@ -206,7 +206,8 @@
         if frame.msg_type in _KEEP_ALIVES:
             return
         if frame.msg_type != WSMsgType.TEXT or not frame.fin:
-            # If it were skipped, a start or an end could be lost that the peer takes as delivered.
+            # The link is reset, since a skipped frame may carry a start or an end that the peer
+            # would count as delivered.
             log_error("link:bad-frame", reason=f"{frame.msg_type.name}, whole: {frame.fin}")
             link.reset()
             return
--- a/dalemast/fleet/links/dialer.py
+++ b/dalemast/fleet/links/dialer.py
@@ -29,7 +29,8 @@
 SLOW_RETRY_S = 1.0
 """Delay between attempts after :data:`SLOW_RETRY_AFTER_S` without a link."""
 SLOW_RETRY_AFTER_S = 5.0
-"""Until then the peer is expected to be back after a restart."""
+"""Time without a link after which attempts become less frequent, in seconds. A peer that is
+restarting is usually back sooner."""
 LOST_RETRY_S = 4.0
 """Delay between attempts after :data:`LOST_AFTER_S` without a link."""
 LOST_AFTER_S = 20.0
--- a/dalemast/platform/worker.py
+++ b/dalemast/platform/worker.py
@@ -270,7 +270,10 @@
         return ConnectionHandshake(path=POLL_PATH, body=call, headers=headers, accept=accept)
 
     def _to_worker_ms(self, at: float) -> int:
-        """Convert a time to milliseconds on the worker's clock; never returns a later time."""
+        """Convert a limit to milliseconds on the worker's clock, rounded down to never extend it.
+
+        Return 0 if the worker's clock is not known yet.
+        """
         if not self._clock.is_known:
             # In the past on any clock, so the worker rejects the call as too late.
             return 0
