--- a/dalemast/entry/forwarding.py
+++ b/dalemast/entry/forwarding.py
@@ -73,6 +73,4 @@
             )
         except HttpFailure as failure:
             self._metrics.count("forwards.failed")
-            raise OwnerLost(
-                f"no response from the owner at {request.address}: {failure.message}"
-            ) from failure
+            raise OwnerLost(f"no response from the owner: {failure.message}") from failure
